--- a/crates/caesar/src/accept.rs
+++ b/crates/caesar/src/accept.rs
@@ -13,11 +13,11 @@
 
 impl<C: Command> Machine<C> {
     /// COMPUTEPREDECESSORS.
-    pub(crate) fn preds(&self, cid: Cid, cmd: &C, stamp: Stamp, white: Option<&Preds>) -> Preds {
+    pub(crate) fn preds(&self, cid: CommandId, cmd: &C, stamp: Stamp, white: Option<&Preds>) -> Preds {
         let mut pred: Preds = self
             .h
             .iter()
-            .filter(|(id, t)| **id != cid && t.stamp < stamp && t.cmd.clashes(cmd))
+            .filter(|(id, t)| **id != cid && t.stamp < stamp && t.cmd.conflicts(cmd))
             .filter(|(id, t)| {
                 white.is_none_or(|w| {
                     w.contains(id)
@@ -37,12 +37,12 @@
         let (cid, cmd, stamp) = (o.cid, &o.cmd, o.stamp);
         let against = || {
             self.h.iter().filter(move |(id, t)| {
-                **id != cid && stamp < t.stamp && !t.pred.contains(&cid) && t.cmd.clashes(cmd)
+                **id != cid && stamp < t.stamp && !t.pred.contains(&cid) && t.cmd.conflicts(cmd)
             })
         };
         let first = o.ballot.n == 0;
         let settled = |t: &Tuple<C>| match t.status {
-            Status::Accepted => first || self.pace.to_the_letter,
+            Status::Accepted => first || self.pace.unmodified_recovery,
             s => s == Status::Stable,
         };
         if self.pace.wait_rule && against().any(|(_, t)| !settled(t)) {
@@ -55,7 +55,7 @@
     }
 
     /// Whether a message of `ballot` may still be heard; notes the ballot.
-    fn admits(&mut self, cid: Cid, ballot: Ballot) -> bool {
+    fn admits(&mut self, cid: CommandId, ballot: Ballot) -> bool {
         let b = self.ballots.entry(cid).or_default();
         let ok = *b <= ballot;
         *b = (*b).max(ballot);
@@ -63,7 +63,7 @@
     }
 
     /// The status this ballot already reached here, if any.
-    fn reached(&self, cid: Cid, ballot: Ballot) -> Option<Status> {
+    fn reached(&self, cid: CommandId, ballot: Ballot) -> Option<Status> {
         self.h.get(&cid).filter(|t| t.ballot == ballot || t.status == Status::Stable).map(|t| t.status)
     }
 
@@ -146,7 +146,7 @@
 
     /// Answers everyone whom the wait rule no longer holds back.
     pub(crate) fn ask_waiters(&mut self, now: Mono, out: &mut Vec<Out<C>>) {
-        let ids: Vec<Cid> = self.waits.keys().copied().collect();
+        let ids: Vec<CommandId> = self.waits.keys().copied().collect();
         for cid in ids {
             let w = &self.waits[&cid];
             let o = &w.offer;
--- a/crates/caesar/src/catch_up.rs
+++ b/crates/caesar/src/catch_up.rs
@@ -3,7 +3,7 @@
 //!
 //! A member is *caught up* once it holds all that a classic quorum, itself included,
 //! held as stable at some moment after its return. Until then what it knows may be old.
-use crate::classic;
+use crate::classic_quorum;
 use crate::machine::Machine;
 use crate::types::*;
 use primitives::{Mono, Span};
@@ -58,31 +58,31 @@
 impl<C: Command> Machine<C> {
     /// Holds all that a classic quorum held as stable at a moment after its return.
     pub fn caught_up(&self) -> bool {
-        self.catch_up.matched.len() + 1 >= classic(self.n())
+        self.catch_up.matched.len() + 1 >= classic_quorum(self.n())
     }
 
     /// When it came back or last got something that it lacked, by its own clock.
-    pub fn last_progress(&self) -> Mono {
+    pub fn last_catch_up_progress(&self) -> Mono {
         self.catch_up.progressed
     }
 
     /// It did not come back from anywhere: it delivered the end of the era before.
-    pub fn stay_caught_up(&mut self) {
+    pub fn mark_caught_up(&mut self) {
         self.catch_up.matched = self.roster.iter().copied().filter(|k| *k != self.me).collect();
     }
 
     /// It comes back from somewhere: nothing that others said before counts.
-    pub fn start_catching_up(&mut self, now: Mono) {
+    pub fn restart_catch_up(&mut self, now: Mono) {
         self.catch_up = CatchUp::new(now);
     }
 
-    pub(crate) fn is_stable(&self, cid: &Cid) -> bool {
+    pub(crate) fn is_stable(&self, cid: &CommandId) -> bool {
         self.h.get(cid).is_some_and(|t| t.status == Status::Stable)
     }
 
     pub(crate) fn on_have(&mut self, now: Mono, from: MemberId, n: u64, digest: u64, out: &mut Vec<Out<C>>) {
         if from != self.me && n >= self.stables && digest != self.digest {
-            self.send(from, Message::AskStable(now), out);
+            self.send(from, Message::RequestStableIds(now), out);
         }
     }
 
@@ -97,7 +97,7 @@
         now: Mono,
         from: MemberId,
         mark: Mono,
-        ids: Vec<Cid>,
+        ids: Vec<CommandId>,
         out: &mut Vec<Out<C>>,
     ) {
         if from == self.me || mark < self.catch_up.since {
@@ -109,7 +109,7 @@
     }
 
     /// Sends what was asked for, as much as one reply holds.
-    pub(crate) fn on_want(&mut self, from: MemberId, ids: Vec<Cid>, out: &mut Vec<Out<C>>) {
+    pub(crate) fn on_want(&mut self, from: MemberId, ids: Vec<CommandId>, out: &mut Vec<Out<C>>) {
         let mut offers = vec![];
         let mut bytes = 0;
         for cid in ids {
@@ -122,7 +122,7 @@
             offers.push(Offer { cid, cmd, ballot: t.ballot, stamp: t.stamp, pred });
         }
         if !offers.is_empty() {
-            self.send(from, Message::Stables(offers), out);
+            self.send(from, Message::StableCommands(offers), out);
         }
     }
 
@@ -137,7 +137,7 @@
     /// Asks one member for what is lacking; one request is under way at a time.
     fn fetch(&mut self, now: Mono, out: &mut Vec<Out<C>>) {
         let h = &self.h;
-        let lacking = |id: &Cid| h.get(id).is_none_or(|t| t.status != Status::Stable);
+        let lacking = |id: &CommandId| h.get(id).is_none_or(|t| t.status != Status::Stable);
         self.catch_up.lacks.values_mut().for_each(|ids| ids.retain(lacking));
         let done: Vec<MemberId> =
             self.catch_up.lacks.iter().filter(|(_, ids)| ids.is_empty()).map(|(k, _)| *k).collect();
@@ -169,7 +169,7 @@
         let due = self.catch_up.listed.is_none_or(|t| now - t >= self.pace.compare);
         if !self.caught_up() && due {
             self.catch_up.listed = Some(now);
-            self.send_all(Message::AskStable(now), out);
+            self.send_all(Message::RequestStableIds(now), out);
         }
         if !self.catch_up.lacks.is_empty() {
             self.fetch(now, out);
--- a/crates/caesar/src/deliver.rs
+++ b/crates/caesar/src/deliver.rs
@@ -36,7 +36,7 @@
 
     pub(crate) fn deliver(&mut self, _now: Mono, out: &mut Vec<Out<C>>) {
         loop {
-            let mut next: Vec<(Stamp, Cid)> = self
+            let mut next: Vec<(Stamp, CommandId)> = self
                 .h
                 .iter()
                 .filter(|(id, t)| t.status == Status::Stable && !self.done.contains(id) && self.ready(t))
@@ -54,7 +54,7 @@
         }
     }
 
-    pub(crate) fn tell_stable(&mut self, to: MemberId, cid: Cid, out: &mut Vec<Out<C>>) {
+    pub(crate) fn tell_stable(&mut self, to: MemberId, cid: CommandId, out: &mut Vec<Out<C>>) {
         if let Some(t) = self.h.get(&cid).filter(|t| t.status == Status::Stable) {
             let o = Offer { cid, cmd: t.cmd.clone(), ballot: t.ballot, stamp: t.stamp, pred: t.pred.clone() };
             self.send(to, Message::Stable(o), out);
--- a/crates/caesar/src/disk.rs
+++ b/crates/caesar/src/disk.rs
@@ -5,26 +5,26 @@
 
 impl<C: Command> Machine<C> {
     /// Takes back one record of the disk; call for all, in order, before any input.
-    pub fn replay(&mut self, rec: Rec<C>) {
+    pub fn replay(&mut self, rec: LogRecord<C>) {
         match rec {
-            Rec::Tuple(cid, t) => {
+            LogRecord::Tuple(cid, t) => {
                 self.clock = self.clock.max(t.stamp.k + 1);
                 let b = self.ballots.entry(cid).or_default();
                 *b = (*b).max(t.ballot);
                 self.note_stable(cid, t.status);
                 self.put(cid, t);
             }
-            Rec::Moved(cid, t) => {
+            LogRecord::StatusChanged(cid, t) => {
                 // Records are whole and in order, so the command was recorded before.
                 if let Some(cmd) = self.h.get(&cid).map(|was| was.cmd.clone()) {
-                    self.replay(Rec::Tuple(cid, t.with(cmd)));
+                    self.replay(LogRecord::Tuple(cid, t.with(cmd)));
                 }
             }
-            Rec::Ballot(cid, b) => {
+            LogRecord::Ballot(cid, b) => {
                 let was = self.ballots.entry(cid).or_default();
                 *was = (*was).max(b);
             }
-            Rec::Clock(k) => self.clock = self.clock.max(k),
+            LogRecord::Clock(k) => self.clock = self.clock.max(k),
         }
         self.bound = self.bound.max(self.clock);
     }
@@ -35,9 +35,9 @@
     }
 
     /// Everything a disk must hold of this machine, in short.
-    pub fn dump(&self) -> Vec<Rec<C>> {
-        let tuples = self.h.iter().map(|(c, t)| Rec::Tuple(*c, t.clone()));
-        let ballots = self.ballots.iter().map(|(c, b)| Rec::Ballot(*c, *b));
-        ballots.chain(tuples).chain([Rec::Clock(self.bound)]).collect()
+    pub fn dump(&self) -> Vec<LogRecord<C>> {
+        let tuples = self.h.iter().map(|(c, t)| LogRecord::Tuple(*c, t.clone()));
+        let ballots = self.ballots.iter().map(|(c, b)| LogRecord::Ballot(*c, *b));
+        ballots.chain(tuples).chain([LogRecord::Clock(self.bound)]).collect()
     }
 }
--- a/crates/caesar/src/lead.rs
+++ b/crates/caesar/src/lead.rs
@@ -1,7 +1,7 @@
 //! The leader's side: the four phases (paper, Fig. 3 left).
 use crate::machine::{Lead, Machine, Step};
 use crate::types::*;
-use crate::{classic, fast};
+use crate::{classic_quorum, fast};
 use primitives::{Mono, Span};
 use std::collections::BTreeMap;
 
@@ -12,9 +12,9 @@
 
 impl<C: Command> Machine<C> {
     /// PROPOSE: this controller becomes the command's leader.
-    pub fn propose(&mut self, now: Mono, cmd: C, out: &mut Vec<Out<C>>) -> Cid {
+    pub fn propose(&mut self, now: Mono, cmd: C, out: &mut Vec<Out<C>>) -> CommandId {
         let stamp = self.next_stamp(out);
-        let cid = Cid { member_id: self.me, seq: stamp.k };
+        let cid = CommandId { member_id: self.me, seq: stamp.k };
         self.tally.proposed += 1;
         let offer = Offer { cid, cmd, ballot: Ballot::default(), stamp, pred: Preds::new() };
         self.start(now, offer, Phase::Fast, false, out);
@@ -68,11 +68,11 @@
     pub(crate) fn rtt(&self) -> Span {
         let mut all: Vec<Span> = self.rtts.values().copied().collect();
         all.sort();
-        all.get(classic(self.n()).saturating_sub(2)).copied().unwrap_or(self.pace.first_rtt)
+        all.get(classic_quorum(self.n()).saturating_sub(2)).copied().unwrap_or(self.pace.initial_rtt)
     }
 
     /// Decides whether the phase is over; `late` says the fast timeout has run out.
-    fn weigh(&mut self, now: Mono, cid: Cid, late: bool, out: &mut Vec<Out<C>>) {
+    fn weigh(&mut self, now: Mono, cid: CommandId, late: bool, out: &mut Vec<Out<C>>) {
         let n = self.n();
         let Some(l) = self.leads.get(&cid) else {
             return;
@@ -80,7 +80,7 @@
         let Step::Vote(phase) = l.step else { return };
         let need = match phase {
             Phase::Fast if !late => fast(n),
-            _ => classic(n),
+            _ => classic_quorum(n),
         };
         if l.votes.len() < need {
             return;
@@ -117,7 +117,7 @@
     pub(crate) fn push_leads(&mut self, now: Mono, out: &mut Vec<Out<C>>) {
         let wait = self.rtt().times(2);
         let least = wait.max(Span::ms(20));
-        let ids: Vec<Cid> = self.leads.keys().copied().collect();
+        let ids: Vec<CommandId> = self.leads.keys().copied().collect();
         for cid in ids {
             let l = &self.leads[&cid];
             let lost = self.ballots.get(&cid).is_some_and(|b| *b > l.offer.ballot);
--- a/crates/caesar/src/lib.rs
+++ b/crates/caesar/src/lib.rs
@@ -15,17 +15,17 @@
 mod types;
 
 pub use machine::Machine;
-pub use pace::Pace;
+pub use pace::ReplicaConfig;
 pub use types::*;
 
 /// `floor(N/2) + 1`.
-pub fn classic(n: usize) -> usize {
+pub fn classic_quorum(n: usize) -> usize {
     n / 2 + 1
 }
 
 /// `N - CQ + 1`: so many that every classic quorum has one of them.
-pub fn meets_all(n: usize) -> usize {
-    n + 1 - classic(n)
+pub fn blocking_quorum(n: usize) -> usize {
+    n + 1 - classic_quorum(n)
 }
 
 /// `ceil(3N/4)`.
@@ -36,5 +36,5 @@
 /// The least overlap of a classic and a fast quorum that recovery counts on:
 /// `floor(CQ/2) + 1`.
 pub fn overlap(n: usize) -> usize {
-    classic(n) / 2 + 1
+    classic_quorum(n) / 2 + 1
 }
--- a/crates/caesar/src/machine.rs
+++ b/crates/caesar/src/machine.rs
@@ -1,6 +1,6 @@
 //! One replica: its state, and where each message goes.
 use crate::catch_up::CatchUp;
-use crate::pace::Pace;
+use crate::pace::ReplicaConfig;
 use crate::types::*;
 use primitives::{Mono, Span};
 use std::collections::{BTreeMap, BTreeSet};
@@ -38,20 +38,20 @@
     pub(crate) me: MemberId,
     /// Invariant: fixed for the machine's life; another roster is another era.
     pub(crate) roster: Vec<MemberId>,
-    pub(crate) pace: Pace,
+    pub(crate) pace: ReplicaConfig,
     /// Invariant: above every stamp handled so far.
     pub(crate) clock: u64,
     /// Invariant: `clock <= bound`, and `bound` has been saved.
     pub(crate) bound: u64,
     /// At most one tuple per command.
-    pub(crate) h: BTreeMap<Cid, Tuple<C>>,
-    pub(crate) ballots: BTreeMap<Cid, Ballot>,
-    pub(crate) waits: BTreeMap<Cid, Waiter<C>>,
-    pub(crate) leads: BTreeMap<Cid, Lead<C>>,
+    pub(crate) h: BTreeMap<CommandId, Tuple<C>>,
+    pub(crate) ballots: BTreeMap<CommandId, Ballot>,
+    pub(crate) waits: BTreeMap<CommandId, Waiter<C>>,
+    pub(crate) leads: BTreeMap<CommandId, Lead<C>>,
     /// Delivered here. Invariant: a subset of the stable tuples of `h`.
-    pub(crate) done: BTreeSet<Cid>,
+    pub(crate) done: BTreeSet<CommandId>,
     /// Commands that keep delivery waiting, since when, and how often recovered.
-    pub(crate) stuck: BTreeMap<Cid, (Mono, u32)>,
+    pub(crate) stuck: BTreeMap<CommandId, (Mono, u32)>,
     pub(crate) heard: BTreeMap<MemberId, Mono>,
     pub(crate) rtts: BTreeMap<MemberId, Span>,
     pub(crate) stables: u64,
@@ -66,7 +66,7 @@
 
 impl<C: Command> Machine<C> {
     /// A replica that holds nothing yet.
-    pub fn new(me: MemberId, mut roster: Vec<MemberId>, pace: Pace, now: Mono) -> Machine<C> {
+    pub fn new(me: MemberId, mut roster: Vec<MemberId>, pace: ReplicaConfig, now: Mono) -> Machine<C> {
         roster.sort();
         let heard = roster.iter().map(|k| (*k, now)).collect();
         Machine {
@@ -93,7 +93,7 @@
     }
 
     /// Carries the clock over into a new era, so that ids stay unique.
-    pub fn start_above(&mut self, k: u64, out: &mut Vec<Out<C>>) {
+    pub fn advance_clock(&mut self, k: u64, out: &mut Vec<Out<C>>) {
         self.clock = self.clock.max(k);
         self.see(k, out);
     }
@@ -115,7 +115,7 @@
         self.h.len()
     }
     /// Commands known here that were not delivered yet.
-    pub fn under_way(&self) -> impl Iterator<Item = (Cid, &C)> {
+    pub fn under_way(&self) -> impl Iterator<Item = (CommandId, &C)> {
         let open = self.h.iter().filter(|(cid, _)| !self.done.contains(cid));
         open.map(|(cid, tuple)| (*cid, &tuple.cmd))
     }
@@ -128,11 +128,11 @@
         &self.roster
     }
     /// Whether the command was delivered here.
-    pub fn delivered(&self, cid: Cid) -> bool {
+    pub fn delivered(&self, cid: CommandId) -> bool {
         self.done.contains(&cid)
     }
     /// When a message of that replica last came in.
-    pub fn heard_of(&self, k: MemberId) -> Option<Mono> {
+    pub fn last_heard_from(&self, k: MemberId) -> Option<Mono> {
         self.heard.get(&k).copied()
     }
 
@@ -155,7 +155,7 @@
         self.clock = self.clock.max(k + 1);
         if self.clock >= self.bound {
             self.bound = self.clock + 4096;
-            out.push(Out::Save(Rec::Clock(self.bound)));
+            out.push(Out::Save(LogRecord::Clock(self.bound)));
         }
     }
 
@@ -167,24 +167,25 @@
     }
 
     /// `H.Update`, saved; whoever the wait rule holds back is asked again.
-    pub(crate) fn update(&mut self, now: Mono, cid: Cid, t: Tuple<C>, out: &mut Vec<Out<C>>) {
+    pub(crate) fn update(&mut self, now: Mono, cid: CommandId, t: Tuple<C>, out: &mut Vec<Out<C>>) {
         self.note_stable(cid, t.status);
         if t.status != Status::Stable {
             self.stuck.entry(cid).or_insert((now, 0));
         }
         let known = self.h.get(&cid).is_some_and(|was| was.cmd == t.cmd);
-        let record = if known { Rec::Moved(cid, t.with(())) } else { Rec::Tuple(cid, t.clone()) };
+        let record =
+            if known { LogRecord::StatusChanged(cid, t.with(())) } else { LogRecord::Tuple(cid, t.clone()) };
         out.push(Out::Save(record));
         self.put(cid, t);
     }
 
-    pub(crate) fn put(&mut self, cid: Cid, t: Tuple<C>) {
+    pub(crate) fn put(&mut self, cid: CommandId, t: Tuple<C>) {
         self.bytes += t.cmd.bytes();
         let was = self.h.insert(cid, t);
         self.bytes -= was.map_or(0, |w| w.cmd.bytes());
     }
 
-    pub(crate) fn note_stable(&mut self, cid: Cid, s: Status) {
+    pub(crate) fn note_stable(&mut self, cid: CommandId, s: Status) {
         let was = self.h.get(&cid).is_some_and(|t| t.status == Status::Stable);
         if s == Status::Stable && !was {
             self.stables += 1;
@@ -205,12 +206,12 @@
             Message::Stable(o) => self.on_stable(now, o, out),
             Message::Vote(v) => self.on_vote(now, from, v, out),
             Message::Recover(cid, b) => self.on_recover(from, cid, b, out),
-            Message::RecoverR(cid, b, t) => self.on_found(now, from, cid, b, t, out),
-            Message::Have(n, d) => self.on_have(now, from, n, d, out),
+            Message::RecoverReply(cid, b, t) => self.on_found(now, from, cid, b, t, out),
+            Message::StableDigest(n, d) => self.on_have(now, from, n, d, out),
             Message::Want(ids) => self.on_want(from, ids, out),
-            Message::AskStable(mark) => self.on_ask_stable(from, mark, out),
+            Message::RequestStableIds(mark) => self.on_ask_stable(from, mark, out),
             Message::StableIds(mark, ids) => self.on_stable_ids(now, from, mark, ids, out),
-            Message::Stables(offers) => self.on_stables(now, offers, out),
+            Message::StableCommands(offers) => self.on_stables(now, offers, out),
         }
         self.ask_waiters(now, out);
     }
@@ -223,7 +224,7 @@
         self.push_catch_up(now, out);
         if now - self.compared >= self.pace.compare {
             self.compared = now;
-            let have = Message::Have(self.stables, self.digest);
+            let have = Message::StableDigest(self.stables, self.digest);
             self.send_all(have, out);
         }
     }
--- a/crates/caesar/src/pace.rs
+++ b/crates/caesar/src/pace.rs
@@ -3,11 +3,11 @@
 
 /// How patient the machine is. Free parameters of the paper's design.
 #[derive(Copy, Clone, Debug)]
-pub struct Pace {
+pub struct ReplicaConfig {
     /// Taken as the quorum round trip until one was measured.
-    pub first_rtt: Span,
+    pub initial_rtt: Span,
     /// A member unheard for this long is suspected.
-    pub suspect: Span,
+    pub suspect_after: Span,
     /// A command unfinished for this long is recovered if its leader is suspected,
     /// and after five times this anyway.
     pub patience: Span,
@@ -17,18 +17,18 @@
     pub wait_rule: bool,
     /// Recovery as the paper has it to the letter; switched on only to show what it
     /// leads to, see docs/paper.md.
-    pub to_the_letter: bool,
+    pub unmodified_recovery: bool,
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
-        Pace {
-            first_rtt: Span::ms(50),
-            suspect: Span::ms(1000),
+impl Default for ReplicaConfig {
+    fn default() -> ReplicaConfig {
+        ReplicaConfig {
+            initial_rtt: Span::ms(50),
+            suspect_after: Span::ms(1000),
             patience: Span::ms(400),
             compare: Span::ms(200),
             wait_rule: true,
-            to_the_letter: false,
+            unmodified_recovery: false,
         }
     }
 }
--- a/crates/caesar/src/recover.rs
+++ b/crates/caesar/src/recover.rs
@@ -1,18 +1,18 @@
 //! Recovery of commands whose leader is suspected (paper, Fig. 4).
 use crate::machine::{Lead, Machine, Step};
 use crate::types::*;
-use crate::{classic, overlap};
+use crate::{classic_quorum, overlap};
 use primitives::{Mono, Span};
 use std::collections::BTreeMap;
 
 impl<C: Command> Machine<C> {
     /// RECOVERYPHASE: a prepare under a higher ballot.
-    fn recover(&mut self, now: Mono, cid: Cid, out: &mut Vec<Out<C>>) {
+    fn recover(&mut self, now: Mono, cid: CommandId, out: &mut Vec<Out<C>>) {
         let was = self.ballots.get(&cid).copied().unwrap_or_default();
         let ballot = Ballot { n: was.n + 1, i: self.me };
         // Synced before it is used, so that no later life repeats it.
         self.ballots.insert(cid, ballot);
-        out.push(Out::Save(Rec::Ballot(cid, ballot)));
+        out.push(Out::Save(LogRecord::Ballot(cid, ballot)));
         let cmd = self.h.get(&cid).map_or_else(C::noop, |t| t.cmd.clone());
         self.tally.recovered += 1;
         let lead = Lead {
@@ -28,14 +28,20 @@
         self.send_all(Message::Recover(cid, ballot), out);
     }
 
-    pub(crate) fn on_recover(&mut self, from: MemberId, cid: Cid, ballot: Ballot, out: &mut Vec<Out<C>>) {
+    pub(crate) fn on_recover(
+        &mut self,
+        from: MemberId,
+        cid: CommandId,
+        ballot: Ballot,
+        out: &mut Vec<Out<C>>,
+    ) {
         let b = self.ballots.entry(cid).or_default();
         if ballot < *b {
             return;
         }
         if ballot > *b {
             *b = ballot;
-            out.push(Out::Save(Rec::Ballot(cid, ballot)));
+            out.push(Out::Save(LogRecord::Ballot(cid, ballot)));
         }
         let t = self.h.get(&cid).cloned();
         // A repeat of the same prepare may be answered again only while nothing
@@ -43,14 +49,14 @@
         if t.as_ref().is_some_and(|t| t.ballot == ballot && t.status != Status::Stable) {
             return;
         }
-        self.send(from, Message::RecoverR(cid, ballot, t), out);
+        self.send(from, Message::RecoverReply(cid, ballot, t), out);
     }
 
     pub(crate) fn on_found(
         &mut self,
         now: Mono,
         from: MemberId,
-        cid: Cid,
+        cid: CommandId,
         b: Ballot,
         t: Option<Tuple<C>>,
         out: &mut Vec<Out<C>>,
@@ -63,14 +69,21 @@
             return;
         }
         l.finds.insert(from, t);
-        if l.finds.len() >= classic(n) {
+        if l.finds.len() >= classic_quorum(n) {
             let finds: Vec<Tuple<C>> = l.finds.values().flatten().cloned().collect();
             self.redo(now, cid, b, finds, out);
         }
     }
 
     /// Goes on from what a classic quorum holds.
-    fn redo(&mut self, now: Mono, cid: Cid, ballot: Ballot, finds: Vec<Tuple<C>>, out: &mut Vec<Out<C>>) {
+    fn redo(
+        &mut self,
+        now: Mono,
+        cid: CommandId,
+        ballot: Ballot,
+        finds: Vec<Tuple<C>>,
+        out: &mut Vec<Out<C>>,
+    ) {
         let stable = finds.iter().find(|t| t.status == Status::Stable);
         let top = stable.map(|t| t.ballot).or_else(|| finds.iter().map(|t| t.ballot).max());
         let set: Vec<Tuple<C>> = finds.into_iter().filter(|t| Some(t.ballot) == top).collect();
@@ -82,7 +95,7 @@
         // before it. See docs/paper.md.
         let pending: Vec<&Tuple<C>> = set.iter().filter(|t| t.status == Status::FastPending).collect();
         let need = overlap(self.n());
-        let refused = self.pace.to_the_letter && with(Status::Rejected).is_some();
+        let refused = self.pace.unmodified_recovery && with(Status::Rejected).is_some();
         let maybe_fast = !refused && (pending.len() >= need || pending.iter().any(|t| t.forced));
         if let Some(t) = with(Status::Stable) {
             self.stable(offer(t), out);
@@ -122,7 +135,7 @@
         let h = &self.h;
         let done = &self.done;
         self.stuck.retain(|cid, _| !done.contains(cid));
-        let lost: Vec<Cid> = h
+        let lost: Vec<CommandId> = h
             .iter()
             .filter(|(id, t)| t.status == Status::Stable && !done.contains(id))
             .flat_map(|(_, t)| t.pred.iter().copied())
@@ -138,7 +151,7 @@
         }
         let rank = self.roster.iter().position(|k| *k == self.me).unwrap_or(0) as u64;
         let base = self.pace.patience.max(self.rtt().times(6));
-        let ids: Vec<(Cid, Mono, u32)> = self.stuck.iter().map(|(c, (m, n))| (*c, *m, *n)).collect();
+        let ids: Vec<(CommandId, Mono, u32)> = self.stuck.iter().map(|(c, (m, n))| (*c, *m, *n)).collect();
         for (cid, since, tries) in ids {
             let settled = self.h.get(&cid).is_some_and(|t| t.status == Status::Stable);
             if settled || self.leads.contains_key(&cid) {
@@ -146,7 +159,7 @@
             }
             let b = self.ballots.get(&cid).copied().unwrap_or_default();
             let leader = if b.n == 0 { cid.member_id } else { b.i };
-            let quiet = self.heard.get(&leader).is_none_or(|m| now - *m >= self.pace.suspect);
+            let quiet = self.heard.get(&leader).is_none_or(|m| now - *m >= self.pace.suspect_after);
             let mine = leader == self.me;
             let grow = 1 << tries.min(4);
             let wait = if quiet || mine { base.times(grow) } else { base.times(5 * grow) };
@@ -170,6 +183,6 @@
     if pending.len() < need {
         return None;
     }
-    let lacking = |c: &Cid| pending.iter().filter(|t| !t.pred.contains(c)).count();
+    let lacking = |c: &CommandId| pending.iter().filter(|t| !t.pred.contains(c)).count();
     Some(all.into_iter().filter(|c| lacking(c) < need).collect())
 }
--- a/crates/caesar/src/types.rs
+++ b/crates/caesar/src/types.rs
@@ -21,7 +21,7 @@
 /// A command's id: its first leader and that leader's clock when it was proposed.
 /// Invariant: unique for all time, because the clock bound is synced ahead of use.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Cid {
+pub struct CommandId {
     /// Its first leader.
     pub member_id: MemberId,
     /// That leader's clock.
@@ -55,12 +55,12 @@
 }
 
 /// Commands that are delivered before another one: the paper's `Pred`.
-pub type Preds = BTreeSet<Cid>;
+pub type Preds = BTreeSet<CommandId>;
 
 /// What a command must tell the protocol about itself.
 pub trait Command: Clone + Debug + PartialEq {
     /// Whether the order of the two matters. Symmetric.
-    fn clashes(&self, other: &Self) -> bool;
+    fn conflicts(&self, other: &Self) -> bool;
     /// A command without effect that clashes with nothing; it fills ids whose
     /// command no reachable controller ever saw.
     fn noop() -> Self;
@@ -97,22 +97,22 @@
 
 /// What reaches the disk. Replaying all of them in order rebuilds the acceptor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Rec<C> {
+pub enum LogRecord<C> {
     /// The tuple now held under the id.
-    Tuple(Cid, Tuple<C>),
+    Tuple(CommandId, Tuple<C>),
     /// The highest ballot promised for the id.
-    Ballot(Cid, Ballot),
+    Ballot(CommandId, Ballot),
     /// No stamp above this one was used before the next such record.
     Clock(u64),
     /// A new status under the id; its command is the one recorded before.
-    Moved(Cid, Tuple<()>),
+    StatusChanged(CommandId, Tuple<()>),
 }
 
 /// A command on offer under a ballot.
 #[derive(Clone, Debug, PartialEq, Hash, Serialize, Deserialize)]
 pub struct Offer<C> {
     /// The command's id.
-    pub cid: Cid,
+    pub cid: CommandId,
     /// The command.
     pub cmd: C,
     /// The ballot it is offered under.
@@ -138,7 +138,7 @@
 #[derive(Clone, Debug, PartialEq, Hash, Serialize, Deserialize)]
 pub struct Vote {
     /// The command voted on.
-    pub cid: Cid,
+    pub cid: CommandId,
     /// The ballot voted in.
     pub ballot: Ballot,
     /// The phase replied to.
@@ -165,19 +165,19 @@
     /// An acceptor's reply.
     Vote(Vote),
     /// A recovering replica asks for promises, and for what is known.
-    Recover(Cid, Ballot),
+    Recover(CommandId, Ballot),
     /// The promise, with the tuple held if any.
-    RecoverR(Cid, Ballot, Option<Tuple<C>>),
+    RecoverReply(CommandId, Ballot, Option<Tuple<C>>),
     /// Count and digest of the sender's stable commands.
-    Have(u64, u64),
+    StableDigest(u64, u64),
     /// Send these, as far as they are stable.
-    Want(Vec<Cid>),
+    Want(Vec<CommandId>),
     /// Which commands are stable there? The time is the sender's own.
-    AskStable(Mono),
+    RequestStableIds(Mono),
     /// The answer, with the time of the question.
-    StableIds(Mono, Vec<Cid>),
+    StableIds(Mono, Vec<CommandId>),
     /// Some of what was wanted.
-    Stables(Vec<Offer<C>>),
+    StableCommands(Vec<Offer<C>>),
 }
 
 /// What the machine asks of its shell. Order matters: an output may leave only
@@ -185,11 +185,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Out<C> {
     /// Append this to the disk's log.
-    Save(Rec<C>),
+    Save(LogRecord<C>),
     /// Send this to a replica.
     Send(MemberId, Message<C>),
     /// The command has come to its place in the order.
-    Deliver(Cid, C),
+    Deliver(CommandId, C),
 }
 
 /// Counters of one replica, from its start on.
--- a/crates/control-state/src/shelf.rs
+++ b/crates/control-state/src/bounded_cache.rs
@@ -2,7 +2,7 @@
 use primitives::Mono;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub trait Shelved {
+pub trait BoundedCacheEntry {
     fn until(&self) -> Mono;
     /// When it is of no use any more, not even to be compared with what is there now.
     fn kept(&self) -> Mono {
@@ -18,16 +18,16 @@
 /// Invariants: the sizes of all on it come to at most `room`; what does not stay goes first,
 /// then what ends soonest; `order` names each thing once.
 #[derive(Clone, Debug)]
-pub struct Shelf<K, T> {
+pub struct BoundedCache<K, T> {
     all: BTreeMap<K, T>,
     order: BTreeSet<(bool, Mono, K)>,
     bytes: usize,
     room: usize,
 }
 
-impl<K: Ord + Clone, T: Shelved> Shelf<K, T> {
-    pub fn new(room: usize) -> Shelf<K, T> {
-        Shelf { all: BTreeMap::new(), order: BTreeSet::new(), bytes: 0, room }
+impl<K: Ord + Clone, T: BoundedCacheEntry> BoundedCache<K, T> {
+    pub fn new(room: usize) -> BoundedCache<K, T> {
+        BoundedCache { all: BTreeMap::new(), order: BTreeSet::new(), bytes: 0, room }
     }
 
     /// Only what is still alive.
--- a/crates/control-state/src/copy_messages.rs
+++ b/crates/control-state/src/cache_messages.rs
@@ -7,10 +7,10 @@
 
 /// A copy as one process hands it to another: its rest of life and its age.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Shown {
+pub struct TransferredCopy {
     pub whole: Whole,
     pub left: Span,
-    pub aged: Span,
+    pub current_age: Span,
     /// The origin said that it is for everybody, credentials or not.
     pub public: bool,
 }
@@ -36,31 +36,31 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum CopySaid {
-    Got(Box<Shown>),
+pub enum CopyReply {
+    Got(Box<TransferredCopy>),
     /// The copy that the asker holds is still the newest; its rest of life and its age.
     Same {
         left: Span,
-        aged: Span,
+        current_age: Span,
     },
     /// There is none to be had here.
     None,
     /// This edge is out of touch, perhaps for a moment: others are to be asked meanwhile.
-    NotYet,
+    TemporarilyUnavailable,
     /// The origin's ceiling is used up: it is to be asked by nobody else either.
     AtCeiling,
     /// lanewing's own last word on it.
     Own(Box<Whole>),
     /// The answer is not to be shared: each caller must be answered by the origin.
-    Personal,
+    Uncacheable,
 }
 
 /// A copy on its way to a ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StockPut {
+pub struct DiskCachePut {
     pub object: Object,
-    pub shown: Shown,
+    pub shown: TransferredCopy,
     pub mark: u64,
-    /// See `mark_holds`.
+    /// See `is_purge_mark_valid`.
     pub sure: Era,
 }
--- a/crates/control-state/src/call.rs
+++ b/crates/control-state/src/call.rs
@@ -1,8 +1,8 @@
 //! Calls that a node passes on to a controller, and what comes back.
-use crate::cmd::Change;
+use crate::command::Change;
 use crate::digest::ItemsDigest;
-use crate::items::Beat;
-use crate::part::Receipt;
+use crate::items::OriginHeartbeat;
+use crate::part::NodeReply;
 use crate::state::{ControlState, Verdict};
 use primitives::Span;
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Call {
     Change(Change),
-    Beat(Beat),
+    OriginHeartbeat(OriginHeartbeat),
     SignOff(String),
     /// The whole state, unless it is what the asker holds.
     Read(ItemsDigest),
@@ -20,29 +20,29 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CallAnswer {
     Change(Verdict),
-    Took,
-    NotNow(String),
-    Table(Box<ControlState>, Vec<(Beat, Span)>),
+    Acknowledged,
+    Unavailable(String),
+    Table(Box<ControlState>, Vec<(OriginHeartbeat, Span)>),
     Unchanged,
 }
 
 impl CallAnswer {
-    pub fn of(r: Receipt) -> CallAnswer {
+    pub fn of(r: NodeReply) -> CallAnswer {
         match r {
-            Receipt::Change(v) => CallAnswer::Change(v),
-            Receipt::Table(p, b) => CallAnswer::Table(p, b),
-            Receipt::Unchanged => CallAnswer::Unchanged,
-            Receipt::NotNow(why) => CallAnswer::NotNow(why.to_string()),
-            _ => CallAnswer::Took,
+            NodeReply::Change(v) => CallAnswer::Change(v),
+            NodeReply::Table(p, b) => CallAnswer::Table(p, b),
+            NodeReply::Unchanged => CallAnswer::Unchanged,
+            NodeReply::Unavailable(why) => CallAnswer::Unavailable(why.to_string()),
+            _ => CallAnswer::Acknowledged,
         }
     }
-    pub fn receipt(self) -> Receipt {
+    pub fn receipt(self) -> NodeReply {
         match self {
-            CallAnswer::Change(v) => Receipt::Change(v),
-            CallAnswer::Table(p, b) => Receipt::Table(p, b),
-            CallAnswer::Unchanged => Receipt::Unchanged,
-            CallAnswer::NotNow(_) => Receipt::NotNow("a controller cannot answer now"),
-            CallAnswer::Took => Receipt::Took,
+            CallAnswer::Change(v) => NodeReply::Change(v),
+            CallAnswer::Table(p, b) => NodeReply::Table(p, b),
+            CallAnswer::Unchanged => NodeReply::Unchanged,
+            CallAnswer::Unavailable(_) => NodeReply::Unavailable("a controller cannot answer now"),
+            CallAnswer::Acknowledged => NodeReply::Acknowledged,
         }
     }
 }
--- a/crates/control-state/src/capacity.rs
+++ b/crates/control-state/src/capacity.rs
@@ -6,7 +6,7 @@
 
 /// An edge is a home of its reach if it has at least one part in so many of the capacity of the
 /// strongest edge there: a home that is slow to answer holds up everybody else.
-const HOME_PART: u32 = 4;
+const HOME_CAPACITY_DIVISOR: u32 = 4;
 
 /// An edge as others know it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -33,7 +33,7 @@
 /// Those of the edges that are homes.
 pub fn homes(edges: &[EdgeNode]) -> impl Iterator<Item = &EdgeNode> {
     let greatest = edges.iter().map(|e| e.capacity).max().unwrap_or(0);
-    edges.iter().filter(move |e| e.capacity.saturating_mul(HOME_PART) >= greatest)
+    edges.iter().filter(move |e| e.capacity.saturating_mul(HOME_CAPACITY_DIVISOR) >= greatest)
 }
 
 /// The part that each edge has of what is shared out of ceilings: by capacity, among the homes
--- a/crates/control-state/src/share.rs
+++ b/crates/control-state/src/ceiling_share.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// How long a lent request may be used, by the borrower's clock from its asking.
-pub const LENT: Span = Span::ms(400);
+pub const BORROWED_TOKEN_TTL: Span = Span::ms(400);
 
 /// Requests a second. Invariant: `own` and `lent` together stay below the ceiling.
 #[derive(Copy, Clone, Debug, PartialEq)]
@@ -21,7 +21,7 @@
 
 /// Parts of the ceiling that are the edges' own, and that are lent.
 const OWN: f64 = 0.55;
-const LENT_PART: f64 = 0.4;
+const BORROWED_PART: f64 = 0.4;
 
 impl Share {
     /// Nothing bounds it.
@@ -33,9 +33,9 @@
         // Each sharer may burst by one request; where that would already be more
         // than a twentieth of the ceiling in five seconds, all of it is lent.
         if sharers as f64 <= 0.25 * c {
-            Share { ceiling: c, own: OWN * c, lent: LENT_PART * c }
+            Share { ceiling: c, own: OWN * c, lent: BORROWED_PART * c }
         } else {
-            Share { ceiling: c, own: 0.0, lent: (OWN + LENT_PART) * c }
+            Share { ceiling: c, own: 0.0, lent: (OWN + BORROWED_PART) * c }
         }
     }
 }
--- a/crates/control-state/src/cmd.rs
+++ b/crates/control-state/src/command.rs
@@ -104,13 +104,13 @@
     }
 
     /// Asks whether any row ever existed, so its place among all row changes matters.
-    fn asks_rows(&self) -> bool {
+    fn depends_on_rows(&self) -> bool {
         matches!(self, Op::Settle { early: true, .. })
     }
     /// Those that come together travel as one command: purges, what the start or the end of
     /// many processes brings, and edits, which all clash and would each be weighed against all
     /// others under way.
-    pub fn gathers(&self) -> bool {
+    pub fn is_batchable(&self) -> bool {
         matches!(self, Op::Purge(_) | Op::PurgeBy(_) | Op::Join(..) | Op::Edit(_)) || self.is_origin()
     }
     fn is_origin(&self) -> bool {
@@ -133,21 +133,21 @@
 }
 
 impl Change {
-    fn clashes(&self, b: &Change) -> bool {
+    fn conflicts(&self, b: &Change) -> bool {
         let same_id = self.id.is_some() && self.id == b.id;
-        let asks = |x: &Op, y: &Op| x.asks_rows() && y.is_row();
+        let asks = |x: &Op, y: &Op| x.depends_on_rows() && y.is_row();
         same_id || asks(&self.op, &b.op) || asks(&b.op, &self.op) || self.op.meets(&b.op)
     }
 }
 
 impl Command for Cmd {
-    fn clashes(&self, other: &Cmd) -> bool {
+    fn conflicts(&self, other: &Cmd) -> bool {
         match (self, other) {
             (Cmd::Noop, _) | (_, Cmd::Noop) => false,
             (Cmd::Cut(..), _) | (_, Cmd::Cut(..)) => true,
             (Cmd::Look, Cmd::Look) => false,
             (Cmd::Look, _) | (_, Cmd::Look) => true,
-            (Cmd::Changes(a), Cmd::Changes(b)) => a.iter().any(|a| b.iter().any(|b| a.clashes(b))),
+            (Cmd::Changes(a), Cmd::Changes(b)) => a.iter().any(|a| b.iter().any(|b| a.conflicts(b))),
         }
     }
     fn noop() -> Cmd {
--- a/crates/control-state/src/configuration.rs
+++ b/crates/control-state/src/configuration.rs
@@ -86,7 +86,7 @@
 
 /// Why a set of edits is invalid as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu, Serialize, Deserialize)]
-pub enum Flaw {
+pub enum EditError {
     #[snafu(display("{name}: the host is empty"))]
     NoHost { name: String },
     #[snafu(display("{name}: the path prefix should begin and end with a slash"))]
@@ -94,13 +94,13 @@
     #[snafu(display("{name}: a request needs at least one attempt"))]
     NoAttempts { name: String },
     #[snafu(display("{name}: the aim exceeds the timeout by a minute or more"))]
-    AimOver { name: String },
+    AimExceedsTimeout { name: String },
     #[snafu(display("{name}: the weights come to nothing"))]
     NoWeight { name: String },
     #[snafu(display("{name}: no service is called {svc}"))]
     UnknownService { name: String, svc: Svc },
     #[snafu(display("{name}: this is not an entry of its section"))]
-    Misplaced { name: String },
+    WrongSection { name: String },
 }
 
 /// One number of one entry, as operators are told of it.
@@ -117,7 +117,7 @@
     }
 }
 
-const AIM_OVER: Span = Span::secs(60);
+const MAX_AIM_EXCESS: Span = Span::secs(60);
 
 /// The canonical text of what drops an entry.
 const DROPPED: &str = "dropped";
@@ -166,7 +166,7 @@
     }
 
     /// What is wrong with it, whatever else there is.
-    pub fn flaw(&self) -> Option<Flaw> {
+    pub fn flaw(&self) -> Option<EditError> {
         let name = || self.name.clone();
         let placed = matches!(
             (self.section, &self.body),
@@ -175,15 +175,20 @@
                 | (Section::Services, Some(Body::Service(_)))
                 | (Section::Limits, Some(Body::Limits(_)))
         );
-        let misplaced = (!placed).then(|| Flaw::Misplaced { name: name() });
+        let misplaced = (!placed).then(|| EditError::WrongSection { name: name() });
         let l = self.lane();
-        let or = |bad: fn(&LaneEntry) -> bool, f: Flaw| l.filter(|l| bad(l)).map(|_| f);
+        let or = |bad: fn(&LaneEntry) -> bool, f: EditError| l.filter(|l| bad(l)).map(|_| f);
         misplaced
-            .or_else(|| or(|l| l.host.is_empty(), Flaw::NoHost { name: name() }))
-            .or_else(|| or(|l| !bounded(&l.prefix), Flaw::Prefix { name: name() }))
-            .or_else(|| or(|l| l.attempts == 0, Flaw::NoAttempts { name: name() }))
-            .or_else(|| or(|l| l.aim.0 >= l.timeout.0 + AIM_OVER.0, Flaw::AimOver { name: name() }))
-            .or_else(|| or(|l| l.weights.iter().all(|(_, w)| *w == 0), Flaw::NoWeight { name: name() }))
+            .or_else(|| or(|l| l.host.is_empty(), EditError::NoHost { name: name() }))
+            .or_else(|| or(|l| !bounded(&l.prefix), EditError::Prefix { name: name() }))
+            .or_else(|| or(|l| l.attempts == 0, EditError::NoAttempts { name: name() }))
+            .or_else(|| {
+                or(
+                    |l| l.aim.0 >= l.timeout.0 + MAX_AIM_EXCESS.0,
+                    EditError::AimExceedsTimeout { name: name() },
+                )
+            })
+            .or_else(|| or(|l| l.weights.iter().all(|(_, w)| *w == 0), EditError::NoWeight { name: name() }))
     }
 }
 
--- a/crates/control-state/src/confirmed.rs
+++ b/crates/control-state/src/confirmed.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// Numbers remembered of all entries together.
-pub const MOST_NUMBERS: usize = 16_384;
+pub const MAX_CONFIRMED_NUMBERS: usize = 16_384;
 
 const DIGEST_BYTES: usize = 16;
 
@@ -29,7 +29,7 @@
 
 /// What is known of a content under a number.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub enum Known {
+pub enum ConfirmationStatus {
     /// Nothing was confirmed under this number.
     Never,
     /// This very content was.
@@ -45,7 +45,7 @@
 struct Numbers {
     contents: BTreeMap<Version, ContentDigest>,
     /// Numbers up to this one may be missing above.
-    forgotten_to: Option<Version>,
+    forgotten_up_to: Option<Version>,
 }
 
 /// The confirmed numbers of all entries; part of the replicated state.
@@ -53,13 +53,13 @@
 pub struct Confirmed(BTreeMap<Key, Numbers>);
 
 impl Confirmed {
-    pub fn known(&self, key: &Key, ver: Version, content: &ContentDigest) -> Known {
-        let Some(numbers) = self.0.get(key) else { return Known::Never };
+    pub fn known(&self, key: &Key, ver: Version, content: &ContentDigest) -> ConfirmationStatus {
+        let Some(numbers) = self.0.get(key) else { return ConfirmationStatus::Never };
         match numbers.contents.get(&ver) {
-            Some(was) if was == content => Known::Same,
-            Some(_) => Known::Other,
-            None if numbers.forgotten_to.is_some_and(|to| ver <= to) => Known::Forgotten,
-            None => Known::Never,
+            Some(was) if was == content => ConfirmationStatus::Same,
+            Some(_) => ConfirmationStatus::Other,
+            None if numbers.forgotten_up_to.is_some_and(|to| ver <= to) => ConfirmationStatus::Forgotten,
+            None => ConfirmationStatus::Never,
         }
     }
 
@@ -81,7 +81,7 @@
             let longest = self.0.values_mut().max_by_key(|numbers| numbers.contents.len());
             let Some(numbers) = longest.filter(|numbers| numbers.contents.len() > 1) else { return };
             let lowest = numbers.contents.pop_first();
-            numbers.forgotten_to = numbers.forgotten_to.max(lowest.map(|(ver, _)| ver));
+            numbers.forgotten_up_to = numbers.forgotten_up_to.max(lowest.map(|(ver, _)| ver));
         }
     }
 }
--- a/crates/control-state/src/leaving.rs
+++ b/crates/control-state/src/deregistration.rs
@@ -5,7 +5,7 @@
 
 impl Origin {
     /// As a beat describes it, serving.
-    pub fn of(beat: Beat) -> Origin {
+    pub fn of(beat: OriginHeartbeat) -> Origin {
         Origin {
             svc: beat.svc,
             birth: beat.birth,
@@ -19,7 +19,7 @@
 
 impl ControlState {
     /// Where the life of that name is, and which one it is.
-    pub fn named_origin(&self, name: &str) -> Option<(Addr, Birth)> {
+    pub fn origin_by_tag(&self, name: &str) -> Option<(Addr, Birth)> {
         self.items.iter().find_map(|(key, item)| match (key, &item.body) {
             (Key::Origin(addr), Some(Body::Origin(o))) if o.tag == name => Some((*addr, o.birth)),
             _ => None,
@@ -50,7 +50,7 @@
 
     /// Signs off whoever has that name at this place of the order.
     pub(crate) fn sign_off_name(&mut self, name: &str) -> Verdict {
-        match self.named_origin(name) {
+        match self.origin_by_tag(name) {
             Some((addr, birth)) => self.sign_off(addr, birth),
             None => Verdict::Void(Void::Absent),
         }
--- a/crates/control-state/src/digest.rs
+++ b/crates/control-state/src/digest.rs
@@ -1,6 +1,6 @@
 //! Whether two processes hold the same items, without sending them.
 use crate::items::{Item, Key};
-use crate::purged::old_purge;
+use crate::purges::is_expired_purge;
 use crate::state::Era;
 use primitives::Version;
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
 impl ItemsDigest {
     /// Without purges that are to be forgotten in this era: some may have done so already.
     pub fn of(era: Era, items: &BTreeMap<Key, Item>) -> ItemsDigest {
-        let kept = items.iter().filter(|(key, item)| !old_purge(era, key, item));
+        let kept = items.iter().filter(|(key, item)| !is_expired_purge(era, key, item));
         let versions: Vec<(&Key, Version)> = kept.map(|(key, item)| (key, item.ver)).collect();
         ItemsDigest(primitives::hash(&versions))
     }
--- a/crates/control-state/src/edits.rs
+++ b/crates/control-state/src/edits.rs
@@ -1,6 +1,6 @@
 //! Applying edits of the configuration: all of a call, or nothing of it.
 use crate::configuration::*;
-use crate::confirmed::{Confirmed, ContentDigest, Known, MOST_NUMBERS};
+use crate::confirmed::{ConfirmationStatus, Confirmed, ContentDigest, MAX_CONFIRMED_NUMBERS};
 use crate::items::*;
 use crate::state::{ControlState, Verdict};
 use primitives::Version;
@@ -11,13 +11,13 @@
         self.items.get(&e.key()).is_none_or(|it| e.ver > it.ver)
     }
 
-    fn known(&self, e: &Edit) -> Known {
+    fn known(&self, e: &Edit) -> ConfirmationStatus {
         self.confirmed.known(&e.key(), e.ver, &e.content)
     }
 
     /// Whether all of this was confirmed before; then it is confirmed for ever.
-    pub fn confirmed_all(&self, edits: &[Edit]) -> bool {
-        edits.iter().all(|e| self.known(e) == Known::Same)
+    pub fn all_confirmed(&self, edits: &[Edit]) -> bool {
+        edits.iter().all(|e| self.known(e) == ConfirmationStatus::Same)
     }
 
     fn service_after(&self, edits: &[Edit], svc: &Svc) -> bool {
@@ -29,7 +29,7 @@
     }
 
     /// Why the edits, all together, may not be taken.
-    pub fn flaw(&self, edits: &[Edit]) -> Option<Flaw> {
+    pub fn flaw(&self, edits: &[Edit]) -> Option<EditError> {
         // What is overtaken has no effect: it may name what has gone since, though not
         // what never was.
         let gone = |e: &Edit, svc: &Svc| {
@@ -39,33 +39,33 @@
         let unknown = |e: &&Edit| {
             let known = |s: &Svc| self.service_after(edits, s) || gone(e, s);
             let lost = e.lane()?.weights.iter().find(|(s, _)| !known(s))?;
-            Some(Flaw::UnknownService { name: e.name.clone(), svc: lost.0.clone() })
+            Some(EditError::UnknownService { name: e.name.clone(), svc: lost.0.clone() })
         };
         // What was confirmed was valid, whatever has gone since.
-        let open = || edits.iter().filter(|e| self.known(e) != Known::Same);
+        let open = || edits.iter().filter(|e| self.known(e) != ConfirmationStatus::Same);
         open().find_map(Edit::flaw).or_else(|| open().find_map(|e| unknown(&e)))
     }
 
     /// The first edit whose number stands for another content, before the call or in it.
     fn conflict(&self, edits: &[Edit]) -> Option<EntryNumber> {
         let mut call: BTreeMap<(Key, Version), ContentDigest> = BTreeMap::new();
-        let clashes = |e: &&Edit| {
+        let conflicts = |e: &&Edit| {
             let first = call.entry((e.key(), e.ver)).or_insert(e.content);
-            *first != e.content || self.known(e) == Known::Other
+            *first != e.content || self.known(e) == ConfirmationStatus::Other
         };
-        edits.iter().find(clashes).map(Edit::number)
+        edits.iter().find(conflicts).map(Edit::number)
     }
 
     /// The first edit of which nobody knows any more whether it was confirmed.
     fn forgotten(&self, edits: &[Edit]) -> Option<EntryNumber> {
-        edits.iter().find(|e| self.known(e) == Known::Forgotten).map(Edit::number)
+        edits.iter().find(|e| self.known(e) == ConfirmationStatus::Forgotten).map(Edit::number)
     }
 
     /// All of them or none; those that are overtaken have no effect, but their numbers
     /// are confirmed and so belong to their contents.
     pub(crate) fn edit(&mut self, edits: &[Edit]) -> Verdict {
         if let Some(flaw) = self.flaw(edits) {
-            return Verdict::Flawed(flaw);
+            return Verdict::InvalidEdit(flaw);
         }
         if let Some(conflict) = self.conflict(edits) {
             return Verdict::Conflict(conflict);
@@ -81,7 +81,7 @@
                 done.push((e.key(), e.ver));
             }
         }
-        self.confirmed.trim(MOST_NUMBERS);
+        self.confirmed.trim(MAX_CONFIRMED_NUMBERS);
         Verdict::Done(done)
     }
 
--- a/crates/control-state/src/follow.rs
+++ b/crates/control-state/src/follower.rs
@@ -1,20 +1,20 @@
 //! Following the controllers, as edges and ledgers do: numbered news, merged by
 //! version, and the setup lease.
 use crate::digest::ItemsDigest;
-use crate::feeds::Feeds;
 use crate::items::*;
-use crate::msg::*;
+use crate::message::*;
 use crate::part::Out;
-use crate::purged::old_purge;
+use crate::purges::is_expired_purge;
 use crate::source::Source;
 use crate::state::Era;
+use crate::update_streams::UpdateStreams;
 use caesar::MemberId;
 use primitives::{Addr, Birth, Epoch, Mono, NodeId, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a follower is told about itself.
 #[derive(Clone, Debug)]
-pub struct FollowEnv {
+pub struct FollowerEnv {
     pub id: NodeId,
     pub role: Role,
     pub addr: Addr,
@@ -30,12 +30,12 @@
     pub capacity: u32,
     /// Goes on without a lease once it has held one: a deployment's choice of
     /// serving while out of touch over denying; see `docs/in-force.md`.
-    pub serve_on: bool,
+    pub serve_without_lease: bool,
 }
 
 #[derive(Clone, Debug)]
-pub struct Follow {
-    pub env: FollowEnv,
+pub struct Follower {
+    pub env: FollowerEnv,
     pub era: Era,
     /// Invariant: all that was decided before this era is held: a controller in it renewed
     /// the lease, which it does only for one who holds all that it applied.
@@ -45,7 +45,7 @@
     pub items: BTreeMap<Key, Item>,
     /// Until when each controller's renewal carries the lease, counted from our asking.
     leases: BTreeMap<MemberId, Mono>,
-    feeds: Feeds,
+    feeds: UpdateStreams,
     source: Source,
     asked: Mono,
     /// Held the lease at some time of this life: then it holds all that an earlier life
@@ -57,16 +57,16 @@
 
 const EVERY: Span = Span::ms(200);
 
-impl Follow {
-    pub fn new(env: FollowEnv) -> Follow {
-        Follow {
+impl Follower {
+    pub fn new(env: FollowerEnv) -> Follower {
+        Follower {
             env,
             era: Era(0),
             sure: Era(0),
             members: vec![],
             items: BTreeMap::new(),
             leases: BTreeMap::new(),
-            feeds: Feeds::default(),
+            feeds: UpdateStreams::default(),
             source: Source::default(),
             asked: Mono(0),
             touched: false,
@@ -85,21 +85,21 @@
 
     /// Whether it serves at all, lease or not.
     pub fn leased_until(&self) -> Mono {
-        let on = self.env.serve_on && self.touched;
+        let on = self.env.serve_without_lease && self.touched;
         if on {
             Mono(u64::MAX >> 1)
         } else {
-            self.in_touch_until()
+            self.lease_quorum_until()
         }
     }
 
     /// Until when the lease holds: so many controllers carry it that they meet every
     /// classic quorum. Of an empty roster nothing does.
-    pub fn in_touch_until(&self) -> Mono {
+    pub fn lease_quorum_until(&self) -> Mono {
         if self.members.is_empty() {
             return Mono(0);
         }
-        let need = caesar::meets_all(self.members.len());
+        let need = caesar::blocking_quorum(self.members.len());
         let mut v: Vec<Mono> =
             self.members.iter().filter_map(|m| self.leases.get(&m.member_id)).copied().collect();
         v.sort_by(|a, b| b.cmp(a));
@@ -111,7 +111,7 @@
     }
 
     /// This node as the control state knows it, if in this very life.
-    pub fn myself(&self) -> Option<&Node> {
+    pub fn own_node(&self) -> Option<&Node> {
         match self.items.get(&Key::Node(self.env.id))?.body.as_ref()? {
             Body::Node(n) => Some(n).filter(|n| n.birth == self.env.birth),
             _ => None,
@@ -123,7 +123,7 @@
         self.asked = now;
         self.source.choose(now, &self.env, &self.members);
         // Without a lease the seeds are asked too: the roster may have moved on.
-        let lost = self.in_touch_until() <= now;
+        let lost = self.lease_quorum_until() <= now;
         let seeds = self.env.seeds.iter().copied().filter(|_| lost);
         let all: BTreeSet<Addr> = self.members.iter().map(|m| m.addr).chain(seeds).collect();
         out.extend(all.into_iter().map(|a| self.sub(now, a, wants, epoch)));
@@ -160,7 +160,7 @@
         let new: Vec<Key> =
             n.items.iter().filter(|(k, it)| merge(&mut self.items, k, it)).map(|(k, _)| k.clone()).collect();
         let era = self.era;
-        self.items.retain(|k, it| !old_purge(era, k, it));
+        self.items.retain(|k, it| !is_expired_purge(era, k, it));
         // Whoever holds all may be lent the lease: it asks at once.
         if n.full {
             self.asked = Mono(0);
@@ -170,13 +170,13 @@
         let due = self.feeds.settle(&self.items).into_iter();
         out.extend(due.map(|held| Out::Send(held.by, Msg::Got { id, feed: held.feed, got: held.got })));
         let reply = n.reply.as_ref().filter(|r| r.life == self.env.life);
-        self.source.note_lacking(now, self.feeds.lack(), !new.is_empty());
+        self.source.note_missing_items(now, self.feeds.has_missing_items(), !new.is_empty());
         reply.into_iter().for_each(|r| self.source.replied(now, from, r));
         if let Some(r) = reply.filter(|r| r.lent) {
             self.sure = self.sure.max(n.era);
             let l = self.leases.entry(r.member_id).or_default();
             *l = (*l).max(r.ask + self.env.lease);
-            self.touched |= self.in_touch_until() > Mono(0);
+            self.touched |= self.lease_quorum_until() > Mono(0);
         }
         new
     }
--- a/crates/control-state/src/heads.rs
+++ b/crates/control-state/src/headers.rs
@@ -5,10 +5,10 @@
 
 /// Fields in the order they came, repeated ones too. Invariant: names are in lower case.
 #[derive(Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heads(Vec<(String, Vec<u8>)>);
+pub struct Headers(Vec<(String, Vec<u8>)>);
 
 /// Names only: values may be credentials, which are never logged.
-impl fmt::Debug for Heads {
+impl fmt::Debug for Headers {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.debug_list().entries(self.0.iter().map(|(n, _)| n)).finish()
     }
@@ -33,7 +33,7 @@
 /// Who is asking.
 const CREDENTIALS: [&str; 2] = ["authorization", "cookie"];
 /// A shared fill wants the whole, plainly, whatever its caller has already.
-const OWN_WISHES: [&str; 8] = [
+const CALLER_PREFERENCES: [&str; 8] = [
     "accept-encoding",
     "if-match",
     "if-none-match",
@@ -44,12 +44,12 @@
     "cache-control",
 ];
 
-impl Heads {
+impl Headers {
     pub fn push(&mut self, name: &str, value: impl Into<Vec<u8>>) {
         self.0.push((name.to_ascii_lowercase(), value.into()));
     }
 
-    pub fn with(mut self, name: &str, value: impl Into<Vec<u8>>) -> Heads {
+    pub fn with(mut self, name: &str, value: impl Into<Vec<u8>>) -> Headers {
         self.push(name, value);
         self
     }
@@ -71,13 +71,13 @@
         self.iter().any(|(n, _)| n == name)
     }
 
-    pub fn without(&self, drop: impl Fn(&str) -> bool) -> Heads {
-        Heads(self.0.iter().filter(|(n, _)| !drop(n)).cloned().collect())
+    pub fn without(&self, drop: impl Fn(&str) -> bool) -> Headers {
+        Headers(self.0.iter().filter(|(n, _)| !drop(n)).cloned().collect())
     }
 
     /// What goes on to the other end: not what belongs to one hop, nor what
     /// `Connection` names as such, nor lanewing's own words.
-    pub fn end_to_end(&self) -> Heads {
+    pub fn end_to_end(&self) -> Headers {
         let named: Vec<String> = self
             .all("connection")
             .flat_map(|v| String::from_utf8_lossy(v).to_ascii_lowercase().into_bytes())
@@ -96,8 +96,8 @@
     }
 
     /// As a fill sends them that is made for whoever asks.
-    pub fn for_all(&self) -> Heads {
-        self.without(|n| OWN_WISHES.contains(&n) || CREDENTIALS.contains(&n))
+    pub fn for_shared_fetch(&self) -> Headers {
+        self.without(|n| CALLER_PREFERENCES.contains(&n) || CREDENTIALS.contains(&n))
     }
 
     pub fn bytes(&self) -> usize {
@@ -108,16 +108,16 @@
 /// What a keyed request was, and whose: the same key is the same request only if
 /// these agree. A strong digest, so that nobody can make another's.
 #[derive(Copy, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Print(pub [u8; 32]);
+pub struct Fingerprint(pub [u8; 32]);
 
-impl fmt::Debug for Print {
+impl fmt::Debug for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "Print({:02x}{:02x}..)", self.0[0], self.0[1])
     }
 }
 
-impl Print {
-    pub fn of(method: &str, path: &str, heads: &Heads, body: &[u8]) -> Print {
+impl Fingerprint {
+    pub fn of(method: &str, path: &str, heads: &Headers, body: &[u8]) -> Fingerprint {
         let who = CREDENTIALS.iter().flat_map(|c| heads.all(c).map(|v| (c.as_bytes(), v)));
         let who: Vec<&[u8]> = who.flat_map(|(c, v)| [c, v]).collect();
         let parts = [method.as_bytes(), path.as_bytes(), body].into_iter().chain(who);
@@ -127,6 +127,6 @@
             h.update((p.len() as u64).to_le_bytes());
             h.update(p);
         }
-        Print(h.finalize().into())
+        Fingerprint(h.finalize().into())
     }
 }
--- a/crates/control-state/src/holders.rs
+++ b/crates/control-state/src/holders.rs
@@ -34,7 +34,7 @@
     }
 
     /// The same outcome, held by these.
-    pub fn held_by(&self, holders: &[Holder]) -> Whole {
+    pub fn with_holders(&self, holders: &[Holder]) -> Whole {
         let one = |h: &Holder| format!("{}@{:x}", h.addr, h.birth.0);
         let list: Vec<String> = holders.iter().map(one).collect();
         Whole { heads: self.without_holders().heads.with(HOLDERS, list.join(" ")), ..self.clone() }
@@ -47,7 +47,7 @@
 }
 
 /// The ledgers that have a place in the roll, each with the life of the disk it has now.
-pub fn living_ledgers(items: &BTreeMap<Key, Item>) -> BTreeMap<Addr, Birth> {
+pub fn current_ledgers(items: &BTreeMap<Key, Item>) -> BTreeMap<Addr, Birth> {
     let seated: BTreeSet<Addr> = Roll::of(items).seats().map(|s| s.addr).collect();
     let nodes = items.range(Key::Node(NodeId(0))..=Key::Node(NodeId(u64::MAX)));
     let ledgers = nodes.filter_map(|(_, item)| match &item.body {
--- a/crates/control-state/src/items.rs
+++ b/crates/control-state/src/items.rs
@@ -160,7 +160,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct OriginHeartbeat {
     pub svc: Svc,
     pub addr: Addr,
     pub birth: Birth,
@@ -182,13 +182,13 @@
     }
 }
 
-impl Beat {
+impl OriginHeartbeat {
     /// Whether this one, heard then, takes the place of what was heard before at its
     /// address: the later word counts, but a life that said it leaves never serves again,
     /// and of one life's counted words the higher is the later.
-    pub fn replaces(&self, heard: Mono, was: Option<&(Beat, Mono)>) -> bool {
-        let over = |w: &Beat| w.birth == self.birth && w.mood.ends() && !self.mood.ends();
-        let late = |w: &Beat| w.birth == self.birth && self.seq < w.seq;
+    pub fn replaces(&self, heard: Mono, was: Option<&(OriginHeartbeat, Mono)>) -> bool {
+        let over = |w: &OriginHeartbeat| w.birth == self.birth && w.mood.ends() && !self.mood.ends();
+        let late = |w: &OriginHeartbeat| w.birth == self.birth && self.seq < w.seq;
         was.is_none_or(|(w, t)| heard > *t && !over(w) && !late(w))
     }
 }
--- a/crates/control-state/src/show.rs
+++ b/crates/control-state/src/json.rs
@@ -37,7 +37,7 @@
     text(if s == Standing::Serving { "serving" } else { "leaving" })
 }
 
-pub fn show_item(k: &Key, it: &Item) -> JsonValue {
+pub fn item_json(k: &Key, it: &Item) -> JsonValue {
     let mut f = vec![("version", num(it.ver.0))];
     match k {
         Key::Row(l, s) => f.extend([("lane", text(l)), ("service", text(s))]),
@@ -89,10 +89,10 @@
 /// The live items of one sort, or with `all` the tombstones too.
 pub fn show_items(p: &ControlState, all: bool, want: fn(&Key) -> bool) -> JsonValue {
     let live = p.items.iter().filter(|(k, it)| want(k) && (all || it.body.is_some()));
-    list(live.map(|(k, it)| show_item(k, it)).collect())
+    list(live.map(|(k, it)| item_json(k, it)).collect())
 }
 
-pub fn show_members(p: &ControlState) -> JsonValue {
+pub fn members_json(p: &ControlState) -> JsonValue {
     let one = |m: &Member| {
         obj(vec![
             ("controller", num(m.member_id.0 as u64)),
@@ -104,8 +104,8 @@
     list(p.members.iter().map(one).collect())
 }
 
-pub fn show_beats(beats: &[(Beat, Span)]) -> JsonValue {
-    let one = |(b, age): &(Beat, Span)| {
+pub fn heartbeats_json(beats: &[(OriginHeartbeat, Span)]) -> JsonValue {
+    let one = |(b, age): &(OriginHeartbeat, Span)| {
         obj(vec![
             ("service", text(&b.svc)),
             ("address", text(b.addr)),
@@ -119,16 +119,16 @@
     list(beats.iter().map(one).collect())
 }
 
-pub fn show_verdict(v: &Verdict) -> JsonValue {
+pub fn verdict_json(v: &Verdict) -> JsonValue {
     match v {
         Verdict::Done(ks) => {
             let one = |(k, v): &(Key, primitives::Version)| {
-                show_item(k, &Item { ver: *v, body: Some(Body::Purge) })
+                item_json(k, &Item { ver: *v, body: Some(Body::Purge) })
             };
             obj(vec![("done", list(ks.iter().map(one).collect()))])
         }
-        Verdict::Stale(k, it) => obj(vec![("problem", text("stale")), ("current", show_item(k, it))]),
-        Verdict::Flawed(w) => obj(vec![("problem", text("invalid")), ("reason", text(w))]),
+        Verdict::Stale(k, it) => obj(vec![("problem", text("stale")), ("current", item_json(k, it))]),
+        Verdict::InvalidEdit(w) => obj(vec![("problem", text("invalid")), ("reason", text(w))]),
         Verdict::Conflict(c) => obj(vec![("problem", text("conflict")), ("reason", text(c))]),
         Verdict::Forgotten(c) => obj(vec![("problem", text("forgotten")), ("reason", text(c))]),
         Verdict::Void(w) => obj(vec![("problem", text(format!("{w:?}")))]),
--- a/crates/control-state/src/msg.rs
+++ b/crates/control-state/src/message.rs
@@ -1,16 +1,16 @@
 //! Every message between lanewing's own processes.
-use crate::ask::AskId;
+use crate::cache_messages::{CopyReply, DiskCachePut, Patience, Reach};
 use crate::call::{Call, CallAnswer};
-use crate::cmd::Cmd;
-use crate::copy_messages::{CopySaid, Patience, Reach, StockPut};
-use crate::heads::{Heads, Print};
+use crate::command::Cmd;
+use crate::headers::{Fingerprint, Headers};
 use crate::items::*;
 use crate::object::Object;
+use crate::request_id::RequestId;
 use crate::rounds::*;
 use crate::snapshot::SnapshotMessage;
 use crate::state::Era;
 use crate::whole::Whole;
-use caesar::{Cid, MemberId, Message};
+use caesar::{CommandId, MemberId, Message};
 use primitives::{Birth, Epoch, Mono, NodeId, Span, Version};
 use serde::{Deserialize, Serialize};
 use strum::IntoStaticStr;
@@ -67,7 +67,7 @@
     /// next asking.
     pub at: Option<Mono>,
     /// Origins' heartbeats that came since the reply named in the asking, and their ages.
-    pub beats: Vec<(Beat, Span)>,
+    pub beats: Vec<(OriginHeartbeat, Span)>,
     pub slices: Vec<(Svc, u32)>,
     pub epoch: Epoch,
 }
@@ -84,24 +84,29 @@
     /// The sender's own era is behind, or it has no seat.
     WantSnapshot(Era, Birth),
     /// The disk of this birth has synced the snapshot of this era, and has no seat in it.
-    Learned(Era, Birth),
+    #[strum(serialize = "learned")]
+    SnapshotStored(Era, Birth),
     /// The member is about to stop.
     Leaving(MemberId),
     /// Who has a seat, for processes that have none to pass on.
-    Roster(Era, Vec<Member>),
+    #[strum(serialize = "roster")]
+    Membership(Era, Vec<Member>),
     /// The one blank controller that is to found the deployment.
     Found(Birth),
     /// A node passes on what it was asked, under a number of its own.
-    Call(AskId, Box<Call>),
-    CallAnswered(AskId, Box<CallAnswer>),
+    Call(RequestId, Box<Call>),
+    CallAnswered(RequestId, Box<CallAnswer>),
     /// Beats and their ages, as of a moment after the receiver's own one given last:
     /// the sender's clock now, and the receiver's as it was last heard.
-    Beats(Vec<(Beat, Span)>, Mono, Option<Mono>),
-    AskForce(Era, Cid),
-    InForce(Era, Cid, MemberId),
+    #[strum(serialize = "beats")]
+    Heartbeats(Vec<(OriginHeartbeat, Span)>, Mono, Option<Mono>),
+    #[strum(serialize = "ask_force")]
+    InForceQuery(Era, CommandId),
+    InForce(Era, CommandId, MemberId),
     /// The sender has applied it from a synced decision.
-    Applied(Era, Cid, MemberId),
-    AskApplied(Era, Cid),
+    Applied(Era, CommandId, MemberId),
+    #[strum(serialize = "ask_applied")]
+    AppliedQuery(Era, CommandId),
     /// By the era that followed a roster: members of it that are past it, see `controller`.
     Landed(Vec<(Era, MemberId)>),
     /// To itself: what was saved before this was sent, at that time, is synced.
@@ -109,7 +114,8 @@
     /// The sender's disk takes too long to lead.
     SlowDisk(MemberId),
     /// A member asks for the leadership, at a moment of its own clock.
-    AskLeadership {
+    #[strum(serialize = "ask_leadership")]
+    LeadershipRequest {
         candidate: MemberId,
         epoch: Epoch,
         asked: Mono,
@@ -130,11 +136,12 @@
         got: u64,
     },
     // between edges
-    CopyAsk {
-        ask: AskId,
+    #[strum(serialize = "copy_ask")]
+    CopyQuery {
+        ask: RequestId,
         object: Object,
         /// As the first caller sent them, less what is its own.
-        heads: Heads,
+        heads: Headers,
         /// For whom the asked one is to have a copy.
         reach: Reach,
         /// The `ETag` of a lapsed copy that the asker still holds.
@@ -142,23 +149,28 @@
         patience: Patience,
     },
     /// The home edge is at it.
-    CopyWait(AskId),
-    CopyGot {
-        ask: AskId,
-        said: CopySaid,
+    #[strum(serialize = "copy_wait")]
+    CopyPending(RequestId),
+    #[strum(serialize = "copy_got")]
+    CopyResult {
+        ask: RequestId,
+        said: CopyReply,
         /// Of all purges that the sender knows, see `purge_digest`.
         purges: u64,
     },
     // edges and ledgers
-    StockOffer(AskId),
-    StockWant {
-        ask: AskId,
+    #[strum(serialize = "stock_offer")]
+    DiskCacheOffer(RequestId),
+    #[strum(serialize = "stock_want")]
+    DiskCacheWant {
+        ask: RequestId,
         at: Mono,
     },
-    StockPut(Mono, Box<StockPut>),
+    #[strum(serialize = "stock_put")]
+    DiskCachePut(Mono, Box<DiskCachePut>),
     Claim {
         key: String,
-        print: Print,
+        print: Fingerprint,
         round: RoundId,
         /// The version of the roll by which the key's ledgers were named.
         roll: Version,
@@ -175,7 +187,7 @@
     },
     Outcome {
         key: String,
-        print: Print,
+        print: Fingerprint,
         round: RoundId,
         whole: Whole,
     },
--- a/crates/control-state/src/part.rs
+++ b/crates/control-state/src/part.rs
@@ -1,11 +1,11 @@
 //! What a role is to its shell: a pure part that is stepped and answers with
 //! outputs. Simulator and stakker run the same parts.
-use crate::cmd::Change;
+use crate::command::Change;
 use crate::configuration::CallerLimits;
 use crate::digest::ItemsDigest;
-use crate::heads::Heads;
+use crate::headers::Headers;
 use crate::items::*;
-use crate::msg::*;
+use crate::message::*;
 use crate::report::Report;
 use crate::state::{ControlState, Verdict};
 use crate::whole::Whole;
@@ -14,7 +14,7 @@
 
 /// A caller's request as an edge sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Req {
+pub struct CallerRequest {
     pub method: String,
     /// Found by host and path, if there is a host.
     pub lane: Lane,
@@ -22,7 +22,7 @@
     pub path: String,
     pub key: Option<String>,
     /// End-to-end fields, with those that forwarding adds.
-    pub heads: Heads,
+    pub heads: Headers,
     pub body: Arc<Vec<u8>>,
     /// How long its caller waits, if it says so.
     pub left: Option<Span>,
@@ -40,22 +40,22 @@
     /// Invariant: not a byte leaves after this.
     pub until: Mono,
     /// When the answer is given up.
-    pub horizon: Mono,
+    pub answer_deadline: Mono,
     /// Not the request's first round.
     pub extra: bool,
-    pub req: Req,
+    pub req: CallerRequest,
 }
 
 /// What became of a round.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fetched {
+pub enum FetchOutcome {
     Whole(Whole),
     /// Not a byte left.
     NotSent,
     /// The origin says that it did not run it.
     Refused,
     /// Another life is at the address: it did not run it.
-    Elsewhere,
+    WrongIncarnation,
     /// Bytes left and no whole answer came back.
     Lost,
     /// The answer is longer than any that is served here.
@@ -85,16 +85,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Invariant: not a byte leaves after the point given.
-    Serve(Arc<Whole>, Shared, Mono),
+    Serve(Arc<Whole>, AnswerSource, Mono),
     /// Denied, with when to come back.
     Deny(Denied, Span),
     /// Sent, and what became of it is unknown.
-    Doubt(Span),
+    OutcomeUnknown(Span),
 }
 
 /// Where an answer came from.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Shared {
+pub enum AnswerSource {
     Origin,
     /// A shared copy, and its age.
     Copy(Span),
@@ -110,7 +110,7 @@
     Change(Change),
     /// A beat, and if its origin gives it back, the controller's clock as of the last
     /// reply it had: the beat is no older.
-    Beat(Beat, Option<Mono>),
+    OriginHeartbeat(OriginHeartbeat, Option<Mono>),
     /// An origin signs off, by what it calls its life itself.
     SignOff(String),
     /// Swap a lost controller for the one now at an address.
@@ -120,14 +120,14 @@
     },
     Table,
     /// The whole state, unless it is just what the asker holds.
-    TableUnless(ItemsDigest),
+    TableIfChanged(ItemsDigest),
     /// The whole state by agreement, whoever is asked.
     Read,
     // at edges
-    Begin(Req),
-    Done(u64, Fetched),
+    Begin(CallerRequest),
+    Done(u64, FetchOutcome),
     /// What a probe that was begun then found: service, life, whether it serves.
-    Probed(Addr, Option<(Svc, Birth, bool)>, Mono),
+    ProbeResult(Addr, Option<(Svc, Birth, bool)>, Mono),
     Probes,
     /// What callers may send.
     Limits,
@@ -144,17 +144,17 @@
     pub why: &'static str,
     pub in_hand: u64,
     /// Not ready, but still taking requests: it has begun to leave.
-    pub taking: bool,
+    pub accepting_requests: bool,
     pub counts: Vec<(&'static str, u64)>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Receipt {
+pub enum NodeReply {
     /// Decided and in force (or of no effect, as the verdict says).
     Change(Verdict),
-    Took,
-    NotNow(&'static str),
-    Table(Box<ControlState>, Vec<(Beat, Span)>),
+    Acknowledged,
+    Unavailable(&'static str),
+    Table(Box<ControlState>, Vec<(OriginHeartbeat, Span)>),
     /// The asker holds all there is.
     Unchanged,
     Step(Step),
@@ -179,7 +179,7 @@
     Send(Addr, Msg),
     /// A message that relies on nothing saved: it leaves at once, also past a save under way.
     SendNow(Addr, Msg),
-    Tell(Token, Receipt),
+    Tell(Token, NodeReply),
     /// The executor runs this round and reports with `Ask::Done`.
     Fetch(Round),
     /// Something worth remembering when something goes wrong.
--- a/crates/control-state/src/purged.rs
+++ b/crates/control-state/src/purges.rs
@@ -9,7 +9,7 @@
 
 /// Whether a copy's mark can still be compared. `sure` is an era whose purges before
 /// it were all known when the mark was made; none that came after is forgotten yet.
-pub fn mark_holds(sure: Era, now: Era) -> bool {
+pub fn is_purge_mark_valid(sure: Era, now: Era) -> bool {
     now.0 <= sure.0 + KEPT
 }
 
@@ -21,7 +21,7 @@
 }
 
 /// Whether this is a purge that nobody needs any more.
-pub fn old_purge(era: Era, k: &Key, it: &Item) -> bool {
+pub fn is_expired_purge(era: Era, k: &Key, it: &Item) -> bool {
     k.is_purge() && (it.ver.0 >> 32) + KEPT < era.0
 }
 
--- a/crates/control-state/src/ask.rs
+++ b/crates/control-state/src/request_id.rs
@@ -6,7 +6,7 @@
 /// once, and each of its lives has another birth; so an answer to an earlier life, or to
 /// another node that had the same address, matches no question of this one.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct AskId {
+pub struct RequestId {
     pub birth: Birth,
     pub n: u64,
 }
--- a/crates/control-state/src/roll.rs
+++ b/crates/control-state/src/roll.rs
@@ -55,13 +55,13 @@
     }
 
     /// The set whose grants decide: the older one while the set changes.
-    pub fn deciding(&self) -> &[Seat] {
+    pub fn authoritative_set(&self) -> &[Seat] {
         self.sets.first().map_or(&[], |s| s)
     }
 
     /// A key's ledgers, for each set.
     pub fn named(&self, key: &str, losses: usize) -> Vec<Vec<Addr>> {
-        self.sets.iter().map(|s| name_ledgers(key, s, losses)).collect()
+        self.sets.iter().map(|s| ledgers_for_key(key, s, losses)).collect()
     }
 
     pub fn seats(&self) -> impl Iterator<Item = &Seat> {
@@ -83,7 +83,7 @@
     /// Names a newer set beside the one there is. While the set changes it takes the
     /// place of the newer one, the same or another: every round since still has its quorum
     /// in the older set.
-    pub(crate) fn name_seats(&mut self, expect: Version, next: &[Seat]) -> Verdict {
+    pub(crate) fn set_next_ledgers(&mut self, expect: Version, next: &[Seat]) -> Verdict {
         let was = self.item(&Key::Roll);
         if was.ver != expect {
             return Verdict::Stale(Key::Roll, was);
@@ -112,7 +112,7 @@
 }
 
 /// Ranked by hash, zones first spread out.
-fn name_ledgers(key: &str, all: &[Seat], losses: usize) -> Vec<Addr> {
+fn ledgers_for_key(key: &str, all: &[Seat], losses: usize) -> Vec<Addr> {
     let most = replicas(losses);
     let ranked = primitives::rank(&key, all, |c| c.id.0);
     let mut picked: Vec<&Seat> = vec![];
--- a/crates/control-state/src/rounds.rs
+++ b/crates/control-state/src/rounds.rs
@@ -1,5 +1,5 @@
 //! Rounds of keyed requests, and what ledgers say and keep of them.
-use crate::heads::Print;
+use crate::headers::Fingerprint;
 use crate::whole::Whole;
 use primitives::{Birth, NodeId, Span};
 use serde::{Deserialize, Serialize};
@@ -24,16 +24,16 @@
     /// Another round has it; its outcome, once known.
     Held(Option<Whole>),
     /// The key came with another body before.
-    OtherBody,
+    PayloadMismatch,
     /// This ledger may not grant yet, or its disk will not take it.
-    Unable,
+    CannotGrant,
 }
 
 /// A ledger's record of one key, as shown to another ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
     pub key: String,
-    pub print: Print,
+    pub print: Fingerprint,
     pub round: RoundId,
     pub whole: Option<Whole>,
     pub age: Span,
@@ -50,7 +50,7 @@
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecallPurpose {
     /// The asker's disk is new: it may not grant before it holds what the lost one held.
-    Reopen,
+    AfterDiskLoss,
     /// The set of ledgers changes. Invariant: whoever answers grants nothing any more to
     /// rounds that were claimed by an earlier version of the roll.
     Fill,
--- a/crates/control-state/src/snapshot.rs
+++ b/crates/control-state/src/snapshot.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The largest part of a snapshot in one message: under 60 ms of a link of 9 Mbit/s.
-pub const SNAPSHOT_PIECE: usize = 64 << 10;
+pub const SNAPSHOT_CHUNK_BYTES: usize = 64 << 10;
 
 /// Names the encoded state that an era starts from. Members of one era encode the same,
 /// so that any of them can go on where another one stopped.
--- a/crates/control-state/src/source.rs
+++ b/crates/control-state/src/source.rs
@@ -1,7 +1,7 @@
 //! Which controller a follower has items and heartbeats from; of the others it wants leases.
-use crate::follow::FollowEnv;
+use crate::follower::FollowerEnv;
 use crate::items::{Member, Zone};
-use crate::msg::Reply;
+use crate::message::Reply;
 use primitives::{Addr, Mono, Span};
 use std::collections::BTreeMap;
 
@@ -60,14 +60,14 @@
     }
 
     /// Items came, or none are lacking; or some still are.
-    pub(crate) fn note_lacking(&mut self, now: Mono, lacking: bool, came: bool) {
+    pub(crate) fn note_missing_items(&mut self, now: Mono, lacking: bool, came: bool) {
         let since = self.lacking.filter(|_| !came).unwrap_or(now);
         self.lacking = lacking.then_some(since);
     }
 
     /// Takes the nearest one that answers, and of those an own one for each follower; not while
     /// the one chosen before is sending, unless that does not get on.
-    pub(crate) fn choose(&mut self, now: Mono, env: &FollowEnv, members: &[Member]) {
+    pub(crate) fn choose(&mut self, now: Mono, env: &FollowerEnv, members: &[Member]) {
         let silent = |m: &Member| self.answered.get(&m.addr).is_none_or(|last| now - *last > SILENCE);
         let is_chosen = |m: &&Member| Some(m.addr) == self.chosen;
         let lasts = members.iter().find(is_chosen).is_some_and(|m| !silent(m));
--- a/crates/control-state/src/pair.rs
+++ b/crates/control-state/src/standby_origins.rs
@@ -1,6 +1,6 @@
 //! Which origin stands in for which.
 use crate::items::*;
-use crate::show::{list, obj, text};
+use crate::json::{list, obj, text};
 use crate::state::ControlState;
 use primitives::Addr;
 use tinyjson::JsonValue;
@@ -16,7 +16,7 @@
 }
 
 /// Every serving origin with its understudy, as operators see it.
-pub fn show_pairs(p: &ControlState) -> JsonValue {
+pub fn standby_origins_json(p: &ControlState) -> JsonValue {
     let live = |(k, it): (&Key, &Item)| match (k, &it.body) {
         (Key::Origin(a), Some(Body::Origin(o))) if o.standing == Standing::Serving => Some((*a, o.clone())),
         _ => None,
--- a/crates/control-state/src/state.rs
+++ b/crates/control-state/src/state.rs
@@ -1,9 +1,9 @@
 //! Applying decided commands.
-use crate::cmd::*;
-use crate::configuration::{EntryNumber, Flaw, PurgeBy};
+use crate::command::*;
+use crate::configuration::{EditError, EntryNumber, PurgeBy};
 use crate::confirmed::Confirmed;
 use crate::items::*;
-use crate::purged::old_purge;
+use crate::purges::is_expired_purge;
 use primitives::Version;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
     Stale(Key, Item),
     Void(Void),
     /// Invalid, and of no effect at all.
-    Flawed(Flaw),
+    InvalidEdit(EditError),
     /// A number of it belongs to another content; of no effect at all.
     Conflict(EntryNumber),
     /// Of no effect: whether this number was confirmed, and with what, is forgotten.
@@ -41,7 +41,7 @@
     /// The change was refused for what it is: nothing earlier has to be in force for it.
     pub fn is_refusal(&self) -> bool {
         let by_id = matches!(self, Verdict::Void(Void::IdTaken));
-        by_id || matches!(self, Verdict::Stale(..) | Verdict::Flawed(_) | Verdict::Conflict(_))
+        by_id || matches!(self, Verdict::Stale(..) | Verdict::InvalidEdit(_) | Verdict::Conflict(_))
     }
 }
 
@@ -74,7 +74,7 @@
 
 impl ControlState {
     /// The member at this address with this disk, if it has a seat.
-    pub fn seat_of(&self, addr: primitives::Addr, birth: primitives::Birth) -> Option<&Member> {
+    pub fn member_at(&self, addr: primitives::Addr, birth: primitives::Birth) -> Option<&Member> {
         self.members.iter().find(|m| m.addr == addr && m.birth == birth)
     }
 
@@ -151,7 +151,7 @@
                     Verdict::Void(Void::Absent)
                 }
             }
-            Op::Seats { expect, next } => self.name_seats(*expect, next),
+            Op::Seats { expect, next } => self.set_next_ledgers(*expect, next),
             Op::Settle { expect, early } => self.settle(*expect, *early),
             Op::Edit(es) => self.edit(es),
             Op::PurgeBy(scopes) => {
@@ -208,7 +208,7 @@
 
     /// A service with very many purges gets one of everything in their place:
     /// more is purged than was asked, and what must be remembered stays small.
-    fn gather_purges(&mut self) {
+    fn merge_purges(&mut self) {
         let mut count: BTreeMap<Svc, usize> = BTreeMap::new();
         for k in self.items.keys() {
             if let Key::Purge(s, _) = k {
@@ -235,8 +235,8 @@
         p.clock = clock;
         p.next_member_id =
             members.iter().map(|m| m.member_id.0 + 1).max().unwrap_or(0).max(self.next_member_id);
-        p.items.retain(|k, it| !old_purge(p.era, k, it));
-        p.gather_purges();
+        p.items.retain(|k, it| !is_expired_purge(p.era, k, it));
+        p.merge_purges();
         while p.receipts.len() > RECEIPTS {
             let oldest = p.receipts.values().map(|(e, ..)| *e).min().unwrap_or_default();
             p.receipts.retain(|_, (e, ..)| *e > oldest);
--- a/crates/control-state/src/feeds.rs
+++ b/crates/control-state/src/update_streams.rs
@@ -3,12 +3,12 @@
 //! One controller sends items whole; the others announce larger ones by their versions. So a
 //! piece counts once all that it announces is held, whoever sent it.
 use crate::items::{Item, Key};
-use crate::msg::Update;
+use crate::message::Update;
 use primitives::{Addr, Version};
 use std::collections::BTreeMap;
 
 /// Pieces of one controller that may wait for items; it sends them again if they are dropped.
-const MOST_WAITING: usize = 256;
+const MAX_WAITING_PIECES: usize = 256;
 
 /// Numbers that a piece stands for, and what it announces that may not be held yet.
 #[derive(Clone, Debug)]
@@ -76,25 +76,25 @@
 
 /// What is held of each controller's updates.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Feeds {
+pub(crate) struct UpdateStreams {
     by_controller: BTreeMap<Addr, Feed>,
 }
 
-impl Feeds {
+impl UpdateStreams {
     /// A controller's feed, and the last number held of it without a gap.
     pub(crate) fn position(&self, of: &Addr) -> (u64, u64) {
         self.by_controller.get(of).map_or((0, 0), |f| (f.id, f.got))
     }
 
     /// Whether something was announced that is not held.
-    pub(crate) fn lack(&self) -> bool {
+    pub(crate) fn has_missing_items(&self) -> bool {
         self.by_controller.values().flat_map(|feed| &feed.waiting).any(|p| !p.announced.is_empty())
     }
 
     /// An update came, and its items were taken in.
     pub(crate) fn take(&mut self, from: Addr, update: &Update) {
         let feed = self.by_controller.entry(from).or_default();
-        if feed.waiting.len() == MOST_WAITING {
+        if feed.waiting.len() == MAX_WAITING_PIECES {
             feed.waiting.remove(0);
         }
         feed.waiting.push(Piece::of(update));
--- a/crates/control-state/src/whole.rs
+++ b/crates/control-state/src/whole.rs
@@ -1,5 +1,5 @@
 //! A whole answer as it came from an origin.
-use crate::heads::Heads;
+use crate::headers::Headers;
 use base64::prelude::{Engine, BASE64_STANDARD};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256, Sha512};
@@ -9,41 +9,41 @@
 
 /// Room in memory that is given back once nobody holds this any more.
 #[derive(Clone, Default)]
-pub struct Hold(pub Option<Arc<dyn Any + Send + Sync>>);
+pub struct MemoryHold(pub Option<Arc<dyn Any + Send + Sync>>);
 
-impl fmt::Debug for Hold {
+impl fmt::Debug for MemoryHold {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(if self.0.is_some() { "held" } else { "free" })
     }
 }
 
 /// Says nothing of the answer itself.
-impl PartialEq for Hold {
-    fn eq(&self, _: &Hold) -> bool {
+impl PartialEq for MemoryHold {
+    fn eq(&self, _: &MemoryHold) -> bool {
         true
     }
 }
-impl Eq for Hold {}
+impl Eq for MemoryHold {}
 
 /// Invariant: `heads` are end-to-end only, and the body is all there was.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Whole {
     pub status: u16,
-    pub heads: Heads,
+    pub heads: Headers,
     pub body: Arc<Vec<u8>>,
     #[serde(skip)]
-    pub hold: Hold,
+    pub hold: MemoryHold,
 }
 
 impl Whole {
     pub fn new(status: u16, mime: &str, body: Vec<u8>) -> Whole {
-        let heads = Heads::default().with("content-type", mime);
-        Whole { status, heads, body: Arc::new(body), hold: Hold::default() }
+        let heads = Headers::default().with("content-type", mime);
+        Whole { status, heads, body: Arc::new(body), hold: MemoryHold::default() }
     }
 
     /// To be kept where another account bounds the memory.
     pub fn kept(&self) -> Whole {
-        Whole { hold: Hold::default(), ..self.clone() }
+        Whole { hold: MemoryHold::default(), ..self.clone() }
     }
 
     pub fn size(&self) -> usize {
@@ -66,7 +66,7 @@
 }
 
 /// Whether these bytes are what their origin's fields say of them.
-pub fn agrees(heads: &Heads, status: u16, body: &[u8]) -> bool {
+pub fn content_digests_match(heads: &Headers, status: u16, body: &[u8]) -> bool {
     // A part's digest of the whole cannot be reckoned here.
     let repr = heads.get("repr-digest").filter(|_| status == 200);
     digest_agrees(heads.get("content-digest"), body) && digest_agrees(repr, body)
--- a/crates/controller/src/force.rs
+++ b/crates/controller/src/acknowledgement.rs
@@ -7,12 +7,12 @@
 //! change can be serving.
 use crate::controller::Controller;
 use crate::pending::{Asked, Pending};
-use caesar::{classic, Cid, MemberId};
+use caesar::{classic_quorum, CommandId, MemberId};
 use control_state::*;
 use primitives::{Addr, Mono, Span, Token};
 use std::sync::Arc;
 
-const NOT_A_MEMBER: Receipt = Receipt::NotNow("not a member any more");
+const NOT_A_MEMBER: NodeReply = NodeReply::Unavailable("not a member any more");
 const FORGET: Span = Span::secs(60);
 /// How often changes that wait are looked through.
 const LOOK: Span = Span::ms(50);
@@ -23,7 +23,7 @@
 impl Controller {
     pub(crate) fn submit(&mut self, now: Mono, token: Option<Token>, change: Change, out: &mut Vec<Out>) {
         self.enqueue(now, Asked::new(change, token), out);
-        self.send_line(now, out);
+        self.send_queued_purges(now, out);
     }
 
     fn enqueue(&mut self, now: Mono, asked: Asked, out: &mut Vec<Out>) {
@@ -31,7 +31,7 @@
         if self.join(now, &asked) {
             return;
         }
-        if asked.change.op.gathers() {
+        if asked.change.op.is_batchable() {
             self.line.push(asked);
         } else {
             self.propose(now, vec![asked], out);
@@ -47,12 +47,12 @@
                 self.enqueue(now, asked, out);
             }
         }
-        self.send_line(now, out);
+        self.send_queued_purges(now, out);
     }
 
     /// One such command is under way at a time; the rest gathers.
-    pub(crate) fn send_line(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let gathered = |p: &Pending| p.asked.iter().any(|a| a.change.op.gathers());
+    pub(crate) fn send_queued_purges(&mut self, now: Mono, out: &mut Vec<Out>) {
+        let gathered = |p: &Pending| p.asked.iter().any(|a| a.change.op.is_batchable());
         let busy = self.pending.values().any(|p| p.own && p.verdicts.is_none() && gathered(p));
         if !busy && !self.line.is_empty() {
             // As many as stay small together, but at least one.
@@ -70,7 +70,7 @@
     pub(crate) fn propose(&mut self, now: Mono, asked: Vec<Asked>, out: &mut Vec<Out>) {
         let cmd = Cmd::Changes(Arc::new(asked.iter().map(|a| a.change.clone()).collect()));
         let mut o = vec![];
-        let cid = self.mach.as_mut().map(|m| m.propose(now, cmd, &mut o));
+        let cid = self.consensus.as_mut().map(|m| m.propose(now, cmd, &mut o));
         match cid {
             Some(c) => {
                 self.pending.insert(c, Pending::new(asked, now, true));
@@ -85,7 +85,7 @@
 
     /// A word of leaving, which its origin repeats until it is answered: one command
     /// of it is under way at a time, or those of a slow core would pile up.
-    pub(crate) fn submit_sign_off(&mut self, now: Mono, t: Token, op: Op, out: &mut Vec<Out>) {
+    pub(crate) fn submit_unless_pending(&mut self, now: Mono, t: Token, op: Op, out: &mut Vec<Out>) {
         if !self.join_pending(t, &op) {
             self.submit(now, Some(t), Change { id: None, op }, out);
         }
@@ -119,38 +119,38 @@
     }
 
     /// Notes who must still learn of a command just applied. If nobody has to, that is said.
-    pub(crate) fn owe(&mut self, now: Mono, cid: Cid, out: &mut Vec<Out>) {
+    pub(crate) fn note_lagging_subscribers(&mut self, now: Mono, cid: CommandId, out: &mut Vec<Out>) {
         let lacks = self.lacking(now);
-        if lacks.is_empty() && self.all_landed() {
+        if lacks.is_empty() && self.earlier_memberships_retired() {
             self.say_in_force(cid, out);
         } else {
-            self.owed.insert(cid, lacks);
+            self.lagging_subscribers.insert(cid, lacks);
         }
     }
 
     /// Tells whoever leads the command, and whoever asked.
-    fn say_in_force(&mut self, cid: Cid, out: &mut Vec<Out>) {
-        let mut to = self.force_askers.remove(&cid).unwrap_or_default();
+    fn say_in_force(&mut self, cid: CommandId, out: &mut Vec<Out>) {
+        let mut to = self.in_force_requesters.remove(&cid).unwrap_or_default();
         to.extend(self.base.member(cid.member_id).map(|m| m.addr));
         let (era, me) = (self.base.era, self.member_id);
         out.extend(to.into_iter().map(|a| Out::Send(a, Msg::InForce(era, cid, me))));
     }
 
-    fn settled(&self, cid: Cid) -> bool {
-        let here = self.mach.as_ref().is_some_and(|m| m.delivered(cid));
-        here && !self.owed.contains_key(&cid) && self.all_landed()
+    fn settled(&self, cid: CommandId) -> bool {
+        let here = self.consensus.as_ref().is_some_and(|m| m.delivered(cid));
+        here && !self.lagging_subscribers.contains_key(&cid) && self.earlier_memberships_retired()
     }
 
     /// Clears what was paid, tells the leaders, asks for what is missing.
     pub(crate) fn force(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let open = std::mem::take(&mut self.owed);
+        let open = std::mem::take(&mut self.lagging_subscribers);
         for (cid, lacks) in open {
             let still: Vec<_> =
                 lacks.into_iter().filter(|(id, no)| !self.has_caught_up(now, *id, *no)).collect();
-            if still.is_empty() && self.all_landed() {
+            if still.is_empty() && self.earlier_memberships_retired() {
                 self.say_in_force(cid, out);
             } else {
-                self.owed.insert(cid, still);
+                self.lagging_subscribers.insert(cid, still);
             }
         }
         if self.due("force", LOOK, now) {
@@ -167,19 +167,19 @@
         for (cid, pending) in waiting {
             if pending.ask_again.due(now) {
                 let silent = members.iter().filter(|m| !pending.yes.contains(&m.member_id));
-                out.extend(silent.map(|m| Out::Send(m.addr, Msg::AskForce(era, *cid))));
+                out.extend(silent.map(|m| Out::Send(m.addr, Msg::InForceQuery(era, *cid))));
             }
         }
     }
 
-    pub(crate) fn on_ask_force(&mut self, from: Addr, era: Era, cid: Cid, out: &mut Vec<Out>) {
+    pub(crate) fn on_ask_force(&mut self, from: Addr, era: Era, cid: CommandId, out: &mut Vec<Out>) {
         if era != self.base.era {
             return;
         }
         if self.settled(cid) {
             out.push(Out::Send(from, Msg::InForce(era, cid, self.member_id)));
         } else if self.base.members.iter().any(|m| m.addr == from) {
-            self.force_askers.entry(cid).or_default().insert(from);
+            self.in_force_requesters.entry(cid).or_default().insert(from);
         }
     }
 
@@ -187,7 +187,7 @@
         &mut self,
         now: Mono,
         era: Era,
-        cid: Cid,
+        cid: CommandId,
         member_id: MemberId,
         out: &mut Vec<Out>,
     ) {
@@ -200,8 +200,8 @@
     }
 
     /// Answers the operator when there is nothing left to wait for.
-    pub(crate) fn conclude(&mut self, now: Mono, cid: Cid, out: &mut Vec<Out>) {
-        let need = classic(self.base.members.len()).max(self.least_copies());
+    pub(crate) fn conclude(&mut self, now: Mono, cid: CommandId, out: &mut Vec<Out>) {
+        let need = classic_quorum(self.base.members.len()).max(self.min_copies());
         let Some(p) = self.pending.get(&cid) else { return };
         let Some(vs) = &p.verdicts else { return };
         let asked = |a: &Asked| !a.tokens.is_empty() || matches!(a.change.op, Op::Seats { .. });
@@ -218,7 +218,7 @@
             if in_force {
                 self.note_drained(&asked.change);
             }
-            let receipt = Receipt::Change(verdict);
+            let receipt = NodeReply::Change(verdict);
             out.extend(asked.tokens.into_iter().map(|t| Out::Tell(t, receipt.clone())));
         }
     }
--- a/crates/controller/src/apply.rs
+++ b/crates/controller/src/apply.rs
@@ -1,7 +1,7 @@
 //! Runs the agreement and applies what it delivers.
 use crate::controller::Controller;
-use crate::recs::Kept;
-use caesar::{Cid, Machine};
+use crate::stored_records::Kept;
+use caesar::{CommandId, Machine};
 use control_state::*;
 use primitives::Mono;
 
@@ -16,7 +16,7 @@
         f: impl FnOnce(&mut Machine<Cmd>, &mut Outs),
     ) {
         let mut o: Outs = vec![];
-        if let Some(m) = &mut self.mach {
+        if let Some(m) = &mut self.consensus {
             f(m, &mut o);
         }
         self.carry(now, o, out);
@@ -49,16 +49,16 @@
         }
     }
 
-    fn deliver(&mut self, now: Mono, cid: Cid, cmd: Cmd, out: &mut Vec<Out>) {
+    fn deliver(&mut self, now: Mono, cid: CommandId, cmd: Cmd, out: &mut Vec<Out>) {
         match cmd {
             Cmd::Look => self.answer_reader(now, cid, out),
             Cmd::Noop => {
-                self.overtaken_reader(now, cid, out);
+                self.retry_reading(now, cid, out);
                 let p = self.pending.remove(&cid);
                 p.into_iter().for_each(|p| self.again(now, p, out));
             }
             Cmd::Cut(members, landed) => {
-                let clock = self.mach.as_ref().map_or(0, |m| m.clock());
+                let clock = self.consensus.as_ref().map_or(0, |m| m.clock());
                 let next = self.state.cut(&members, landed, clock);
                 let news = self.differs(&next);
                 self.enter(now, next, out);
@@ -75,10 +75,10 @@
                     verdicts.push(verdict);
                 }
                 self.hide(now, cid, &news, out);
-                self.owe(now, cid, out);
+                self.note_lagging_subscribers(now, cid, out);
                 self.pending.entry(cid).and_modify(|p| p.verdicts = Some(verdicts));
                 self.conclude(now, cid, out);
-                self.send_line(now, out);
+                self.send_queued_purges(now, out);
             }
         }
     }
--- a/crates/controller/src/catch_up.rs
+++ b/crates/controller/src/catch_up.rs
@@ -14,15 +14,15 @@
     /// Whether it may lead and renew leases: it has a seat in the era, and all that a
     /// classic quorum of the era held as stable at some moment after its return.
     pub(crate) fn caught_up(&self) -> bool {
-        self.mach.as_ref().is_some_and(|m| m.caught_up())
+        self.consensus.as_ref().is_some_and(|m| m.caught_up())
     }
 
     /// Whether it starts feeds: what it knows before it has caught up would take up the
     /// link that it catches up by. Where too few are there to catch up with, subscribers
     /// still get what there is, after a while.
-    pub(crate) fn may_feed(&self, now: Mono) -> bool {
-        let stuck = |m: &Machine<Cmd>| now - m.last_progress() >= FEED_ANYWAY;
-        let alone = !self.transfer.receiver.active() && self.mach.as_ref().is_some_and(stuck);
+    pub(crate) fn may_start_streams(&self, now: Mono) -> bool {
+        let stuck = |m: &Machine<Cmd>| now - m.last_catch_up_progress() >= FEED_ANYWAY;
+        let alone = !self.transfer.receiver.active() && self.consensus.as_ref().is_some_and(stuck);
         self.caught_up() || alone
     }
 
@@ -69,7 +69,7 @@
         if known && era < self.base.era {
             self.offer_snapshot(now, from, out);
         } else {
-            self.tell_membership(from, out);
+            self.send_membership(from, out);
         }
     }
 
@@ -93,9 +93,11 @@
         match progress {
             Progress::Nothing => (),
             Progress::Ask((to, request)) => out.push(Out::Send(to, Msg::Snapshot(Box::new(request)))),
-            Progress::Whole(state) if self.learns(&state) => self.learn(*state, out),
+            Progress::Whole(state) if self.is_learner_snapshot(&state) => {
+                self.save_learner_snapshot(*state, out)
+            }
             Progress::Whole(state) => self.adopt(now, *state, out),
-            Progress::Spoiled => {
+            Progress::DigestMismatch => {
                 self.count("snapshots spoiled");
                 out.push(Out::Alarm("a snapshot came whole and fails its digest: asking for it anew"));
             }
--- a/crates/controller/src/contact.rs
+++ b/crates/controller/src/contact.rs
@@ -6,7 +6,7 @@
 //! member is *heard* proves one direction only, and of a message that waited out a freeze
 //! not even when it was sent.
 use crate::controller::Controller;
-use caesar::{classic, MemberId};
+use caesar::{classic_quorum, MemberId};
 use control_state::*;
 use primitives::{Addr, Mono, Span};
 use std::collections::BTreeMap;
@@ -47,30 +47,30 @@
         let heard = |m: &Member| if m.addr == me { Some(now) } else { self.reached(&m.addr) };
         let mut moments: Vec<Mono> = members.iter().filter_map(heard).collect();
         moments.sort();
-        moments.into_iter().rev().nth(classic(members.len()) - 1)
+        moments.into_iter().rev().nth(classic_quorum(members.len()) - 1)
     }
 }
 
 impl Controller {
     /// In contact with enough members to decide anything, as of a moment ago.
     pub(crate) fn connected(&self, now: Mono) -> bool {
-        self.in_contact(now, self.env.pace.suspect)
+        self.in_contact(now, self.env.pace.suspect_after)
     }
 
     /// Whether it is worth trying to decide something: in contact, or seated so lately that
     /// contact could not be proved yet. Nothing is confirmed by it.
     pub(crate) fn may_decide(&self, now: Mono) -> bool {
-        let seated_lately = now - self.seated < self.env.pace.suspect;
-        self.connected(now) || (self.mach.is_some() && seated_lately)
+        let seated_lately = now - self.seated < self.env.pace.suspect_after;
+        self.connected(now) || (self.consensus.is_some() && seated_lately)
     }
 
     /// Whether a beat may be acknowledged.
-    pub(crate) fn takes_beats(&self, now: Mono) -> bool {
+    pub(crate) fn may_acknowledge_heartbeats(&self, now: Mono) -> bool {
         self.in_contact(now, BEAT_LEASE)
     }
 
     fn in_contact(&self, now: Mono, lease: Span) -> bool {
-        if self.mach.is_none() {
+        if self.consensus.is_none() {
             return false;
         }
         if !self.env.contact_by_echo {
@@ -87,24 +87,24 @@
         }
         let member = self.base.member(member_id);
         let latest = member.and_then(|m| self.contact.reached(&m.addr));
-        latest.is_some_and(|t| now - t < self.env.pace.suspect)
+        latest.is_some_and(|t| now - t < self.env.pace.suspect_after)
     }
 
     /// Some message of that member in this era was taken in lately.
     pub(crate) fn hears(&self, now: Mono, member_id: MemberId) -> bool {
-        let heard = self.mach.as_ref().and_then(|m| m.heard_of(member_id));
-        heard.is_some_and(|t| now - t < self.env.pace.suspect)
+        let heard = self.consensus.as_ref().and_then(|m| m.last_heard_from(member_id));
+        heard.is_some_and(|t| now - t < self.env.pace.suspect_after)
     }
 
     fn hears_majority(&self, now: Mono) -> bool {
         let members = &self.base.members;
         let heard = members.iter().filter(|m| m.member_id == self.member_id || self.hears(now, m.member_id));
-        heard.count() >= classic(members.len())
+        heard.count() >= classic_quorum(members.len())
     }
 
     /// Contact was lost: whoever waits is told at once that there is no clear answer. What
     /// was proposed may still be decided; what only waited in line is dropped.
-    pub(crate) fn release_callers(&mut self, now: Mono, out: &mut Vec<Out>) {
+    pub(crate) fn reject_waiting_callers(&mut self, now: Mono, out: &mut Vec<Out>) {
         const LOST: &str = "contact with the other controllers was lost";
         self.deny_all_readers(now, LOST, out);
         let queued = std::mem::take(&mut self.line);
@@ -114,6 +114,6 @@
         for asked in self.pending.values_mut().flat_map(|p| &mut p.asked) {
             tokens.append(&mut asked.tokens);
         }
-        out.extend(tokens.into_iter().map(|t| Out::Tell(t, Receipt::NotNow(LOST))));
+        out.extend(tokens.into_iter().map(|t| Out::Tell(t, NodeReply::Unavailable(LOST))));
     }
 }
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -1,23 +1,23 @@
-use crate::beats::{Heard, Pulse};
 use crate::contact::Contact;
 use crate::directory::Directory;
 use crate::disk_health::DiskHealth;
+use crate::heartbeats::{PauseDetector, ReceivedHeartbeat};
 use crate::key_list::KeyList;
-use crate::landing::Landed;
 use crate::leadership::Leadership;
+use crate::ledger_sets::LedgerSetWatch;
 use crate::lending::Lending;
 use crate::log::LogSize;
 use crate::membership::MembershipWatch;
 use crate::pending::{Asked, Pending};
 use crate::reading::Reader;
-use crate::recs::Kept;
-use crate::roll::RollWatch;
+use crate::retired_memberships::Landed;
 pub use crate::settings::{ControllerEnv, Open};
-use crate::show::Hidden;
 use crate::snapshot_transfer::SnapshotTransfer;
+use crate::stored_records::Kept;
 use crate::subscribers::Subscriber;
-use crate::update_terms::Alike;
-use caesar::{Cid, Machine, MemberId};
+use crate::update_terms::SubscriberCounts;
+use crate::visibility::UnconfirmedUpdate;
+use caesar::{CommandId, Machine, MemberId};
 use control_state::*;
 use primitives::{Addr, Birth, Mono, NodeId, Span, Token};
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,7 +31,7 @@
     pub(crate) base: ControlState,
     pub(crate) state: ControlState,
     /// None while blank or retired.
-    pub(crate) mach: Option<Machine<Cmd>>,
+    pub(crate) consensus: Option<Machine<Cmd>>,
     pub(crate) member_id: MemberId,
     /// This disk began with the deployment itself: it never founded unless it says so.
     pub(crate) first: bool,
@@ -41,24 +41,24 @@
     pub(crate) last_stream: u64,
     /// Since when followers without a seat turn to this controller.
     pub(crate) newcomers: BTreeMap<NodeId, Mono>,
-    pub(crate) beats: BTreeMap<Addr, Heard>,
-    pub(crate) pulse: Pulse,
+    pub(crate) beats: BTreeMap<Addr, ReceivedHeartbeat>,
+    pub(crate) pause_detector: PauseDetector,
     pub(crate) contact: Contact,
     /// Lives of origins whose drain this controller knows to be in force.
     pub(crate) drained: BTreeMap<Addr, Birth>,
     /// Beats heard up to then were passed on.
-    pub(crate) relayed: Mono,
+    pub(crate) last_relay: Mono,
     /// What was lately proposed without an operator, so as not to repeat it.
     pub(crate) derived: BTreeMap<u64, Mono>,
-    pub(crate) pending: BTreeMap<Cid, Pending>,
+    pub(crate) pending: BTreeMap<CommandId, Pending>,
     /// Purges that wait for the one under way, to travel together.
     pub(crate) line: Vec<Asked>,
     /// Delivered changes that some edge with a live lease from here still lacks.
-    pub(crate) owed: BTreeMap<Cid, Vec<(NodeId, u64)>>,
+    pub(crate) lagging_subscribers: BTreeMap<CommandId, Vec<(NodeId, u64)>>,
     /// Members to be told, beside its leader, when a change is in force here.
-    pub(crate) force_askers: BTreeMap<Cid, BTreeSet<Addr>>,
+    pub(crate) in_force_requesters: BTreeMap<CommandId, BTreeSet<Addr>>,
     /// Applied here, but not yet known to be applied by a classic quorum.
-    pub(crate) hidden: BTreeMap<Cid, Hidden>,
+    pub(crate) unconfirmed: BTreeMap<CommandId, UnconfirmedUpdate>,
     /// Who of earlier rosters is past them.
     pub(crate) landed: Landed,
     /// When this process began.
@@ -67,18 +67,18 @@
     pub(crate) seated: Mono,
     /// Who was heard in this era.
     pub(crate) heard: BTreeSet<MemberId>,
-    pub(crate) readers: BTreeMap<Cid, Reader>,
+    pub(crate) readers: BTreeMap<CommandId, Reader>,
     pub(crate) leadership: Leadership,
     pub(crate) all_keys: KeyList,
-    pub(crate) alike: Alike,
+    pub(crate) subscriber_counts: SubscriberCounts,
     pub(crate) lending: Lending,
-    pub(crate) roll: RollWatch,
+    pub(crate) roll: LedgerSetWatch,
     pub(crate) said: BTreeMap<Addr, Mono>,
     /// Could decide something when last looked at.
     in_touch: bool,
-    pub(crate) cutting: Option<Mono>,
+    pub(crate) era_end_proposed_at: Option<Mono>,
     /// Callers through other nodes, by the tokens given to their calls.
-    pub(crate) calls: BTreeMap<Token, (Addr, AskId)>,
+    pub(crate) calls: BTreeMap<Token, (Addr, RequestId)>,
     pub(crate) next_call: u64,
     /// The blank controller named to found, and since when.
     pub(crate) named: Option<(Birth, Mono)>,
@@ -104,7 +104,7 @@
             birth: Birth(life),
             base: ControlState::default(),
             state: ControlState::default(),
-            mach: None,
+            consensus: None,
             member_id: MemberId(0),
             first: false,
             unjoined: BTreeMap::new(),
@@ -112,16 +112,16 @@
             last_stream: life << 16,
             newcomers: BTreeMap::new(),
             beats: BTreeMap::new(),
-            pulse: Pulse::new(now),
+            pause_detector: PauseDetector::new(now),
             contact: Contact::new(now),
             drained: BTreeMap::new(),
-            relayed: Mono(0),
+            last_relay: Mono(0),
             derived: BTreeMap::new(),
             pending: BTreeMap::new(),
             line: vec![],
-            owed: BTreeMap::new(),
-            force_askers: BTreeMap::new(),
-            hidden: BTreeMap::new(),
+            lagging_subscribers: BTreeMap::new(),
+            in_force_requesters: BTreeMap::new(),
+            unconfirmed: BTreeMap::new(),
             landed: Landed::new(),
             started: now,
             seated: now,
@@ -129,12 +129,12 @@
             readers: BTreeMap::new(),
             leadership: Leadership::new(now),
             all_keys: KeyList::default(),
-            alike: Alike::default(),
+            subscriber_counts: SubscriberCounts::default(),
             lending: Lending::default(),
-            roll: RollWatch::default(),
+            roll: LedgerSetWatch::default(),
             said: BTreeMap::new(),
             in_touch: false,
-            cutting: None,
+            era_end_proposed_at: None,
             calls: BTreeMap::new(),
             next_call: 0,
             named: None,
@@ -154,7 +154,7 @@
             k.first = k.env.open.is_some_and(|o| o.initial);
             out.extend(Some(Out::Save(Kept::First.encode())).filter(|_| k.first));
         }
-        k.found_alone(now, out);
+        k.found_as_first_seed(now, out);
         k
     }
 
@@ -174,36 +174,36 @@
 
     fn tick(&mut self, now: Mono, out: &mut Vec<Out>) {
         if self.due("blank", Span::ms(200), now) {
-            self.show_unjoined(now, out);
+            self.announce_unjoined(now, out);
         }
         self.search_members(now, out);
         self.announce_leaving(now, out);
-        self.mind_roster(now, out);
+        self.maintain_open_deployment(now, out);
         self.with_machine(now, out, |m, o| m.tick(now, o));
         let in_touch = self.may_decide(now);
         if self.in_touch && !in_touch {
             out.push(Out::Alarm("out of contact with most controllers: nothing can be decided"));
-            self.release_callers(now, out);
+            self.reject_waiting_callers(now, out);
         }
         self.in_touch = in_touch;
-        self.send_line(now, out);
+        self.send_queued_purges(now, out);
         self.land(now, out);
         self.force(now, out);
         self.ask_applied(now, out);
-        self.mind_disk(now, out);
+        self.report_slow_disk(now, out);
         self.lead(now, out);
         if self.due("beats", Span::ms(100), now) {
-            self.relay_beats(now, out);
+            self.relay_heartbeats(now, out);
         }
         self.push_snapshots(now, out);
-        self.maybe_cut(now, out);
-        self.shorten(out);
+        self.maybe_end_era(now, out);
+        self.compact_log(out);
     }
 }
 
 impl Part for Controller {
     fn step(&mut self, now: Mono, inp: In, out: &mut Vec<Out>) {
-        self.pulse.step(now);
+        self.pause_detector.step(now);
         let first = out.len();
         match inp {
             In::Tick => self.tick(now, out),
@@ -213,15 +213,15 @@
                 Msg::Unjoined(m) => self.on_unjoined(now, m, out),
                 Msg::Snapshot(m) => self.on_snapshot(now, from, *m, out),
                 Msg::WantSnapshot(era, birth) => self.on_want(now, from, era, birth, out),
-                Msg::Beats(bs, at, echo) => self.on_relay(now, from, bs, at, echo),
-                Msg::AskForce(era, cid) => self.on_ask_force(from, era, cid, out),
+                Msg::Heartbeats(bs, at, echo) => self.on_relayed_heartbeats(now, from, bs, at, echo),
+                Msg::InForceQuery(era, cid) => self.on_ask_force(from, era, cid, out),
                 Msg::InForce(era, cid, member_id) => self.on_in_force(now, era, cid, member_id, out),
                 Msg::Applied(era, cid, member_id) => self.on_applied(now, era, cid, member_id, out),
-                Msg::Learned(era, birth) => self.on_learned(now, from, era, birth),
+                Msg::SnapshotStored(era, birth) => self.on_snapshot_confirmed(now, from, era, birth),
                 Msg::Leaving(member_id) => self.on_leaving(now, member_id),
-                Msg::Landed(said) => self.on_landed(now, said, out),
-                Msg::AskApplied(era, cid) => self.on_ask_applied(from, era, cid, out),
-                Msg::AskLeadership { candidate, epoch, asked } => {
+                Msg::Landed(said) => self.on_membership_retired(now, said, out),
+                Msg::AppliedQuery(era, cid) => self.on_ask_applied(from, era, cid, out),
+                Msg::LeadershipRequest { candidate, epoch, asked } => {
                     self.on_ask_leadership(now, from, (candidate, epoch, asked), out)
                 }
                 Msg::LeadershipVote { voter, epoch, granted } => {
@@ -229,10 +229,10 @@
                 }
                 Msg::Synced(then) if from == self.env.addr => self.disk.synced(now, then),
                 Msg::SlowDisk(member_id) => self.disk.on_slow(now, member_id),
-                Msg::Got { id, feed, got } => self.on_got(now, id, feed, got, out),
-                Msg::Sub(s) if self.mach.is_none() => self.show_roster(from, &s, out),
-                Msg::Sub(s) => self.on_sub(now, from, *s, out),
-                Msg::Roster(era, ms) => self.on_roster(era, ms),
+                Msg::Got { id, feed, got } => self.on_acknowledgement(now, id, feed, got, out),
+                Msg::Sub(s) if self.consensus.is_none() => self.redirect_subscriber(from, &s, out),
+                Msg::Sub(s) => self.on_subscription(now, from, *s, out),
+                Msg::Membership(era, ms) => self.on_membership(era, ms),
                 Msg::Found(b) => self.on_found(now, b, out),
                 Msg::Call(n, c) => self.on_call(now, from, n, *c, out),
                 Msg::Filled { id, roll } => self.on_filled(id, roll),
--- a/crates/controller/src/directory.rs
+++ b/crates/controller/src/directory.rs
@@ -43,20 +43,20 @@
         }
     }
 
-    pub(crate) fn on_roster(&mut self, era: Era, members: Vec<Member>) {
+    pub(crate) fn on_membership(&mut self, era: Era, members: Vec<Member>) {
         self.directory.note(era, members);
     }
 
     /// A controller that looks for the members learns where they are.
-    pub(crate) fn tell_membership(&self, to: Addr, out: &mut Vec<Out>) {
+    pub(crate) fn send_membership(&self, to: Addr, out: &mut Vec<Out>) {
         let (era, members) = self.latest_membership();
         if to != self.env.addr && !members.is_empty() {
-            out.push(Out::Send(to, Msg::Roster(era, members.to_vec())));
+            out.push(Out::Send(to, Msg::Membership(era, members.to_vec())));
         }
     }
 
     /// A follower that turns to one without a seat learns where the seats are.
-    pub(crate) fn show_roster(&mut self, to: Addr, s: &Sub, out: &mut Vec<Out>) {
+    pub(crate) fn redirect_subscriber(&mut self, to: Addr, s: &Sub, out: &mut Vec<Out>) {
         let (era, members) = self.latest_membership();
         if members.is_empty() {
             return;
@@ -74,11 +74,11 @@
     }
 
     /// Without a seat: shows itself to the seeds, and to the members it knows of.
-    pub(crate) fn show_unjoined(&mut self, now: Mono, out: &mut Vec<Out>) {
-        if self.mach.is_none() && !self.passes_on() && !self.watch.stopping {
+    pub(crate) fn announce_unjoined(&mut self, now: Mono, out: &mut Vec<Out>) {
+        if self.consensus.is_none() && !self.is_relay_only() && !self.watch.stopping {
             let shown = Msg::Unjoined(self.member(MemberId(0)));
             out.extend(self.whom_to_ask().into_iter().map(|a| Out::Send(a, shown.clone())));
-            self.say_learned(out);
+            self.confirm_snapshot(out);
             if now - self.started >= SEATLESS && self.due("seatless", SEATLESS, now) {
                 out.push(Out::Alarm(
                     "this disk has had no seat for long: the loss of others may be one too many",
@@ -90,7 +90,7 @@
     /// With a seat and out of contact: the members that this disk knows may all have been
     /// replaced while it was away.
     pub(crate) fn search_members(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let lost = self.mach.is_some() && !self.may_decide(now);
+        let lost = self.consensus.is_some() && !self.may_decide(now);
         if lost && self.due("search", SEARCH, now) {
             let wish = Msg::WantSnapshot(self.base.era, self.birth);
             out.extend(self.whom_to_ask().into_iter().map(|a| Out::Send(a, wish.clone())));
--- a/crates/controller/src/disk_health.rs
+++ b/crates/controller/src/disk_health.rs
@@ -61,8 +61,8 @@
 
 impl Controller {
     /// Tells the others while its own disk is slow.
-    pub(crate) fn mind_disk(&mut self, now: Mono, out: &mut Vec<Out>) {
-        if self.mach.is_none() || !self.disk.is_slow(now) || !self.due("slow disk", TELL, now) {
+    pub(crate) fn report_slow_disk(&mut self, now: Mono, out: &mut Vec<Out>) {
+        if self.consensus.is_none() || !self.disk.is_slow(now) || !self.due("slow disk", TELL, now) {
             return;
         }
         self.disk.on_slow(now, self.member_id);
--- a/crates/controller/src/found.rs
+++ b/crates/controller/src/founding.rs
@@ -8,11 +8,11 @@
     pub(crate) fn on_unjoined(&mut self, now: Mono, m: Member, out: &mut Vec<Out>) {
         let (addr, birth) = (m.addr, m.birth);
         self.unjoined.insert(addr, (m.clone(), now));
-        self.tell_membership(addr, out);
-        if self.mach.is_none() {
+        self.send_membership(addr, out);
+        if self.consensus.is_none() {
             return self.maybe_found(now, out);
         }
-        if self.base.seat_of(addr, birth).is_some() {
+        if self.base.member_at(addr, birth).is_some() {
             self.offer_snapshot(now, addr, out);
         } else if self.env.open.is_none() && self.base.members.iter().any(|x| x.addr == addr) {
             // Its disk was lost: it gets a new id in its old place.
@@ -44,22 +44,22 @@
         seeds.into_iter().for_each(|s| self.offer_snapshot(now, s, out));
     }
 
-    pub(crate) fn replace(&mut self, now: Mono, old: Addr, new: Addr, out: &mut Vec<Out>) -> Receipt {
+    pub(crate) fn replace(&mut self, now: Mono, old: Addr, new: Addr, out: &mut Vec<Out>) -> NodeReply {
         let there = self.base.members.iter().any(|m| m.addr == old);
         let heard = self.unjoined.get(&new).filter(|(_, t)| now - *t < Span::secs(5)).map(|(m, _)| m.clone());
         match (there, heard) {
-            _ if !self.connected(now) => Receipt::NotNow("no quorum of controllers in reach"),
-            (false, _) => Receipt::NotNow("no controller of the roster is at the old address"),
-            (_, None) => Receipt::NotNow("no blank controller was heard from the new address"),
+            _ if !self.connected(now) => NodeReply::Unavailable("no quorum of controllers in reach"),
+            (false, _) => NodeReply::Unavailable("no controller of the roster is at the old address"),
+            (_, None) => NodeReply::Unavailable("no blank controller was heard from the new address"),
             (true, Some(m)) => {
                 self.swap_in(now, old, m, out);
-                Receipt::Took
+                NodeReply::Acknowledged
             }
         }
     }
 
     fn swap_in(&mut self, now: Mono, old: Addr, new: Member, out: &mut Vec<Out>) {
-        if self.cutting.is_some_and(|t| now - t < Span::secs(2)) {
+        if self.era_end_proposed_at.is_some_and(|t| now - t < Span::secs(2)) {
             return;
         }
         self.count("swaps");
@@ -67,6 +67,6 @@
         let member_id = MemberId(self.state.next_member_id);
         let swap = |m: &Member| if m.addr == old { Member { member_id, ..new.clone() } } else { m.clone() };
         let members: Vec<Member> = self.state.members.iter().map(swap).collect();
-        self.propose_cut(now, members, out);
+        self.propose_next_era(now, members, out);
     }
 }
--- a/crates/controller/src/access.rs
+++ b/crates/controller/src/introspection.rs
@@ -21,15 +21,15 @@
     }
     /// Commands of this era known here.
     pub fn known(&self) -> usize {
-        self.mach.as_ref().map_or(0, |m| m.size())
+        self.consensus.as_ref().map_or(0, |m| m.size())
     }
     /// Counters of the agreement, in this membership and those before it.
     pub fn tally(&self) -> caesar::Tally {
-        self.mach.as_ref().map(|m| m.tally).unwrap_or_default()
+        self.consensus.as_ref().map(|m| m.tally).unwrap_or_default()
     }
     /// Its id among the members, if it is one.
     pub fn member_id(&self) -> Option<MemberId> {
-        self.mach.as_ref().map(|_| self.member_id)
+        self.consensus.as_ref().map(|_| self.member_id)
     }
     /// See `caught_up`.
     pub fn is_caught_up(&self) -> bool {
--- a/crates/controller/src/leadership.rs
+++ b/crates/controller/src/leadership.rs
@@ -5,7 +5,7 @@
 //! clock from when it asked, and a little longer by the granter's, which grants no other
 //! meanwhile. A restarted member has forgotten its grants, so it gives none for that long.
 use crate::controller::Controller;
-use caesar::{classic, MemberId};
+use caesar::{classic_quorum, MemberId};
 use control_state::*;
 use primitives::{Addr, Epoch, Mono, Span};
 use std::collections::{BTreeMap, BTreeSet};
@@ -71,7 +71,7 @@
     }
 
     /// Until when a quorum's grants carry this member; the beginning of time if none do.
-    pub(crate) fn carried_until(&self) -> Mono {
+    pub(crate) fn granted_until(&self) -> Mono {
         let Some(candidacy) = &self.candidacy else { return Mono(0) };
         let mut ends: Vec<Mono> = candidacy.grants.values().copied().collect();
         ends.sort();
@@ -79,7 +79,7 @@
     }
 
     pub(crate) fn is_held(&self, now: Mono) -> bool {
-        self.carried_until() > now
+        self.granted_until() > now
     }
 
     /// Whether it is held, and for that long since its epoch began.
@@ -117,7 +117,7 @@
     fn stand(&mut self, now: Mono, quorum: usize) -> (Epoch, bool) {
         self.quorum = quorum;
         let stale = |c: &Candidacy| c.epoch < self.highest;
-        let failed = |c: &Candidacy| self.carried_until() <= now && c.since + RAISE_EPOCH < now;
+        let failed = |c: &Candidacy| self.granted_until() <= now && c.since + RAISE_EPOCH < now;
         if let Some(current) = self.candidacy.as_ref().filter(|c| !stale(c) && !failed(c)) {
             return (current.epoch, false);
         }
@@ -162,7 +162,7 @@
     /// unable to. Where no disk keeps up, disks do not count.
     pub(crate) fn first_live(&self, now: Mono) -> bool {
         // Who has just got its seat cannot have reached anybody yet.
-        let settled = now - self.seated > self.env.pace.suspect;
+        let settled = now - self.seated > self.env.pace.suspect_after;
         let idle = |k: &MemberId| now - self.leadership.last_asked(*k) > STEP_IN;
         let absent = |k: &MemberId| *k != self.member_id && settled && (!self.reaches(now, *k) || idle(k));
         let available = |k: &MemberId| !self.watch.leaves(*k) && !absent(k);
@@ -183,22 +183,22 @@
         }
         let heard_all_origins = self.leadership.is_held_for(now, self.env.vanish);
         if heard_all_origins && self.due("sweep", SWEEP, now) {
-            self.sweep(now, out);
+            self.remove_silent_origins(now, out);
         }
         if self.leadership.is_held(now) && self.due("ledgers", LOOK_AT_LEDGERS, now) {
-            self.mind_roll(now, out);
+            self.maintain_ledger_sets(now, out);
         }
     }
 
     fn ask_for_leadership(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let quorum = classic(self.base.members.len());
+        let quorum = classic_quorum(self.base.members.len());
         let (epoch, raised) = self.leadership.stand(now, quorum);
         if raised {
             self.lending.clear();
             out.push(Out::Note("asking for the leadership under a new epoch"));
         }
         let candidate = self.member_id;
-        let ask = |m: &Member| Out::SendNow(m.addr, Msg::AskLeadership { candidate, epoch, asked: now });
+        let ask = |m: &Member| Out::SendNow(m.addr, Msg::LeadershipRequest { candidate, epoch, asked: now });
         out.extend(self.base.members.iter().map(ask));
     }
 
--- a/crates/controller/src/roll.rs
+++ b/crates/controller/src/ledger_sets.rs
@@ -8,7 +8,7 @@
 
 /// What the holder knows of the change under way.
 #[derive(Debug, Default)]
-pub(crate) struct RollWatch {
+pub(crate) struct LedgerSetWatch {
     /// Since when, at the latest, this version of the roll is in force.
     force: Option<(Version, Mono)>,
     /// The ledgers there should be, and since when it is these.
@@ -25,7 +25,7 @@
 /// others are left.
 const GONE: Span = Span::secs(5);
 
-impl RollWatch {
+impl LedgerSetWatch {
     pub(crate) fn forced(&mut self, now: Mono, c: &Change, v: &Verdict) {
         if let (Op::Seats { .. }, Verdict::Done(ks)) = (&c.op, v) {
             self.force = ks.first().map(|(_, v)| (*v, now));
@@ -38,7 +38,7 @@
 }
 
 impl Controller {
-    pub(crate) fn mind_roll(&mut self, now: Mono, out: &mut Vec<Out>) {
+    pub(crate) fn maintain_ledger_sets(&mut self, now: Mono, out: &mut Vec<Out>) {
         let (expect, roll) = (self.state.item(&Key::Roll).ver, Roll::of(&self.state.items));
         if self.name_wanted(now, expect, &roll, out) || roll.sets.len() < 2 {
             return;
@@ -98,7 +98,7 @@
     fn candidates(&self, now: Mono, roll: &Roll) -> Vec<Seat> {
         let all: Vec<Seat> = self.ledgers().collect();
         let Some(open) = self.env.open else { return all };
-        let decides = |s: &Seat| roll.deciding().iter().any(|d| d.id == s.id);
+        let decides = |s: &Seat| roll.authoritative_set().iter().any(|d| d.id == s.id);
         let (mut seated, others): (Vec<Seat>, Vec<Seat>) = all.into_iter().partition(decides);
         let mut next: Vec<Seat> = others.into_iter().filter(|s| self.stays(now, s.id)).collect();
         let fewest = replicas(open.losses);
--- a/crates/controller/src/lending.rs
+++ b/crates/controller/src/lending.rs
@@ -4,7 +4,7 @@
 use primitives::{Mono, Span};
 use std::collections::BTreeMap;
 
-/// What may be saved up for later, as a time's worth: with what is lent out for `LENT` and the
+/// What may be saved up for later, as a time's worth: with what is lent out for `BORROWED_TOKEN_TTL` and the
 /// edges' own bursts, five seconds stay within the ceiling's tenth.
 const SAVED_UP: Span = Span::ms(250);
 const MICROS_A_SECOND: f64 = 1e6;
@@ -68,7 +68,7 @@
     pub(crate) fn lend(&mut self, now: Mono, asked: &Sub) -> Vec<(Svc, u32)> {
         self.leadership.note_epoch(asked.epoch);
         // What is lent must be used or void before another leader can lend.
-        let carried = self.leadership.carried_until() >= now + LENT;
+        let carried = self.leadership.granted_until() >= now + BORROWED_TOKEN_TTL;
         let current = self.leadership.candidate_epoch().is_some_and(|epoch| epoch >= asked.epoch);
         if !carried || !current {
             return vec![];
--- a/crates/controller/src/log.rs
+++ b/crates/controller/src/log.rs
@@ -5,7 +5,7 @@
 //! ends before its commands take a quarter of the room, and no change is taken that would
 //! make the state larger than half of it.
 use crate::controller::Controller;
-use crate::recs::Kept;
+use crate::stored_records::Kept;
 use control_state::*;
 use primitives::{Mono, Span};
 
@@ -58,11 +58,11 @@
     }
 
     /// Writes the era anew in short before the ring fills up.
-    pub(crate) fn shorten(&mut self, out: &mut Vec<Out>) {
-        if !self.log.is_long(self.env.base_after, self.env.room) {
+    pub(crate) fn compact_log(&mut self, out: &mut Vec<Out>) {
+        if !self.log.is_long(self.env.compact_after_bytes, self.env.room) {
             return;
         }
-        if let Some(recs) = self.mach.as_ref().map(|m| m.dump()) {
+        if let Some(recs) = self.consensus.as_ref().map(|m| m.dump()) {
             self.count("shortened");
             let whole = Kept::Whole(self.birth, Box::new(self.base.clone()), recs).encode();
             self.log.shortened(whole.len());
@@ -73,29 +73,31 @@
     /// Whether the state with this change would still fit the disk.
     pub(crate) fn has_room(&self, change: &Change) -> bool {
         let size = change.op.size();
-        let held = self.mach.as_ref().map_or(0, |m| m.bytes());
+        let held = self.consensus.as_ref().map_or(0, |m| m.bytes());
         size <= SMALL_CHANGE || self.log.state_now(held) + size <= self.env.room / 2
     }
 
     /// Ends the era once it has grown; the leader sees to it.
-    pub(crate) fn maybe_cut(&mut self, now: Mono, out: &mut Vec<Out>) {
+    pub(crate) fn maybe_end_era(&mut self, now: Mono, out: &mut Vec<Out>) {
         // The others step in when the leader leaves it undone.
         let leads = self.leadership.is_held(now) && !self.transfer.sender.busy(now);
         let due = self.grown(4) && leads || self.grown(5);
         // A roster that landed is forgotten by a cut: kept, it would hold up a restart of
         // all, which must take every lease for alive.
-        let past = !self.base.past.is_empty() && self.all_landed() && now - self.seated > TIDY_AFTER;
+        let past = !self.base.past.is_empty()
+            && self.earlier_memberships_retired()
+            && now - self.seated > TIDY_AFTER;
         let tidy = self.env.open.is_some() && past && self.leadership.is_held(now);
-        let lately = self.cutting.is_some_and(|t| now - t < CUT_AGAIN);
+        let lately = self.era_end_proposed_at.is_some_and(|t| now - t < CUT_AGAIN);
         if (due || tidy) && !lately {
-            self.propose_cut(now, self.state.members.clone(), out);
+            self.propose_next_era(now, self.state.members.clone(), out);
         }
     }
 
     /// Whether the era's commands are so many quarters of what is to be, in number or bytes.
     fn grown(&self, quarters: usize) -> bool {
         let (count, bytes) = (self.env.cut_at, self.env.room / 4);
-        self.mach
+        self.consensus
             .as_ref()
             .is_some_and(|m| m.size() >= count * quarters / 4 || m.bytes() >= bytes * quarters / 4)
     }
--- a/crates/controller/src/membership.rs
+++ b/crates/controller/src/membership.rs
@@ -62,8 +62,8 @@
 
 impl Controller {
     /// Looks after the membership; whoever leads proposes the next change.
-    pub(crate) fn mind_membership(&mut self, now: Mono, out: &mut Vec<Out>) {
-        if self.mach.is_none() || !self.due("membership", LOOK, now) {
+    pub(crate) fn maintain_membership(&mut self, now: Mono, out: &mut Vec<Out>) {
+        if self.consensus.is_none() || !self.due("membership", LOOK, now) {
             return;
         }
         self.note_silence(now);
@@ -72,7 +72,7 @@
             return;
         }
         self.teach_newcomers(now, out);
-        let lately = self.cutting.is_some_and(|t| now - t < CHANGE_RETRY);
+        let lately = self.era_end_proposed_at.is_some_and(|t| now - t < CHANGE_RETRY);
         if !lately {
             self.propose_membership(now, out);
         }
@@ -84,7 +84,8 @@
         let before = std::mem::take(&mut self.watch.silence);
         for member in self.base.members.iter().filter(|m| m.member_id != self.member_id) {
             let in_era = self.heard.contains(&member.member_id);
-            let heard = self.mach.as_ref().and_then(|m| m.heard_of(member.member_id)).filter(|_| in_era);
+            let heard =
+                self.consensus.as_ref().and_then(|m| m.last_heard_from(member.member_id)).filter(|_| in_era);
             let (last, span) = before.get(&member.member_id).copied().unwrap_or((None, Span(0)));
             let news = heard.is_some() && heard != last;
             let span = if news { Span(0) } else { span + step };
@@ -102,7 +103,7 @@
         self.watch.learners.retain(|addr, l| newcomers.get(addr) == Some(&l.birth));
         let era = self.base.era;
         for (addr, birth) in newcomers {
-            let seated = self.base.seat_of(addr, birth).is_some();
+            let seated = self.base.member_at(addr, birth).is_some();
             let fresh = Learner { birth, holds: None, sent: None };
             let learner = self.watch.learners.entry(addr).or_insert(fresh);
             let holds = learner.holds.is_some_and(|(held, _)| held == era);
@@ -115,31 +116,31 @@
     }
 
     /// Whether a snapshot is one to be kept without a seat: it gives this disk none.
-    pub(crate) fn learns(&self, snapshot: &ControlState) -> bool {
+    pub(crate) fn is_learner_snapshot(&self, snapshot: &ControlState) -> bool {
         let keeps = self.env.open.is_some_and(|o| o.keeps);
-        let seated = snapshot.seat_of(self.env.addr, self.birth).is_some();
-        self.mach.is_none() && keeps && !seated
+        let seated = snapshot.member_at(self.env.addr, self.birth).is_some();
+        self.consensus.is_none() && keeps && !seated
     }
 
     /// Without a seat: keeps the snapshot, and says so from now on.
-    pub(crate) fn learn(&mut self, snapshot: ControlState, out: &mut Vec<Out>) {
+    pub(crate) fn save_learner_snapshot(&mut self, snapshot: ControlState, out: &mut Vec<Out>) {
         if snapshot.era <= self.base.era {
             return;
         }
         self.base = snapshot;
         self.state = self.base.clone();
         self.save_base(out);
-        self.say_learned(out);
+        self.confirm_snapshot(out);
     }
 
     /// Tells the members which snapshot this disk has synced; repeated, for words get lost.
-    pub(crate) fn say_learned(&self, out: &mut Vec<Out>) {
-        let learned = Msg::Learned(self.base.era, self.birth);
+    pub(crate) fn confirm_snapshot(&self, out: &mut Vec<Out>) {
+        let learned = Msg::SnapshotStored(self.base.era, self.birth);
         let members = self.base.members.iter();
         out.extend(members.map(|m| Out::Send(m.addr, learned.clone())));
     }
 
-    pub(crate) fn on_learned(&mut self, now: Mono, from: Addr, era: Era, birth: Birth) {
+    pub(crate) fn on_snapshot_confirmed(&mut self, now: Mono, from: Addr, era: Era, birth: Birth) {
         let learner = self.watch.learners.get_mut(&from);
         if let Some(l) = learner.filter(|l| l.birth == birth) {
             let since = l.holds.map_or(now, |(_, since)| since);
@@ -159,16 +160,16 @@
             let learner = self.watch.learners.get(&m.addr).filter(|l| l.birth == m.birth);
             learner.and_then(|l| l.holds).is_some_and(|(held, _)| held == era)
         };
-        let seated = |m: &&Member| self.base.seat_of(m.addr, m.birth).is_some();
+        let seated = |m: &&Member| self.base.member_at(m.addr, m.birth).is_some();
         let newcomers = self.unjoined.values().map(|(m, _)| m);
-        let suspect = self.env.pace.suspect;
+        let suspect_after = self.env.pace.suspect_after;
         MembershipView {
             members: self.state.members.clone(),
-            silent: self.watch.unheard_for(suspect.times(2)),
-            suspected: self.watch.unheard_for(suspect),
+            silent: self.watch.unheard_for(suspect_after.times(2)),
+            suspected: self.watch.unheard_for(suspect_after),
             leaving: self.watch.leaving.keys().copied().collect(),
             ready: newcomers.filter(holds).filter(|m| !seated(m)).cloned().collect(),
-            settled: self.all_landed() && self.enough_heard(),
+            settled: self.earlier_memberships_retired() && self.heard_from_quorum(),
             next_member_id: self.state.next_member_id,
             losses,
         }
@@ -183,17 +184,17 @@
     fn propose_membership(&mut self, now: Mono, out: &mut Vec<Out>) {
         let Some(open) = self.env.open else { return };
         let Some(change) = self.membership_view(open.losses).plan() else { return };
-        if change.reason == Reason::Widened && !self.newcomers_gathered(now) {
+        if change.reason == Reason::MembersAdded && !self.newcomers_gathered(now) {
             return;
         }
         let (name, note) = match change.reason {
-            Reason::DiskLost => ("disks replaced", "proposing a new disk in a lost one's seat"),
-            Reason::SeatTaken => ("seats taken", "proposing a newcomer in a member's seat"),
-            Reason::SeatGivenUp => ("seats given up", "proposing to do without a member"),
-            Reason::Widened => ("joins", "proposing seats for newcomers"),
+            Reason::DiskReplaced => ("disks replaced", "proposing a new disk in a lost one's seat"),
+            Reason::MemberReplaced => ("seats taken", "proposing a newcomer in a member's seat"),
+            Reason::MemberRemoved => ("seats given up", "proposing to do without a member"),
+            Reason::MembersAdded => ("joins", "proposing seats for newcomers"),
         };
         self.count(name);
         out.push(Out::Note(note));
-        self.propose_cut(now, change.members, out);
+        self.propose_next_era(now, change.members, out);
     }
 }
--- a/crates/controller/src/membership_plan.rs
+++ b/crates/controller/src/membership_plan.rs
@@ -7,7 +7,7 @@
 //! - Whoever can be reached before and does not leave keeps its seat.
 //! - A seat is given up only while `2f + 1` members remain.
 //! - If a majority of the old members can be reached, so can a majority of the new ones.
-use caesar::{classic, MemberId};
+use caesar::{classic_quorum, MemberId};
 use control_state::Member;
 use std::collections::BTreeSet;
 
@@ -36,13 +36,13 @@
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
     /// A member's address answers with another disk.
-    DiskLost,
+    DiskReplaced,
     /// A newcomer takes the seat of a silent or leaving member.
-    SeatTaken,
+    MemberReplaced,
     /// A silent or leaving member is not needed.
-    SeatGivenUp,
+    MemberRemoved,
     /// Newcomers are added.
-    Widened,
+    MembersAdded,
 }
 
 /// The next membership.
@@ -56,13 +56,13 @@
 
 /// The smallest membership in which every majority has `f + 1` disks and which keeps a
 /// majority when `f` are lost.
-pub fn least_members(losses: usize) -> usize {
+pub fn min_members(losses: usize) -> usize {
     2 * losses + 1
 }
 
 /// How many more members can be lost before no majority is left; none if there is none now.
 pub fn losses_borne(members: usize, reachable: usize) -> Option<usize> {
-    reachable.checked_sub(classic(members))
+    reachable.checked_sub(classic_quorum(members))
 }
 
 impl MembershipView {
@@ -85,7 +85,7 @@
                 *seat = Member { member_id: MemberId(member_ids.next()?), ..successor.clone() };
             }
         }
-        (members != self.members).then_some(MembershipChange { members, reason: Reason::DiskLost })
+        (members != self.members).then_some(MembershipChange { members, reason: Reason::DiskReplaced })
     }
 
     fn newcomers(&self) -> impl Iterator<Item = &Member> {
@@ -105,12 +105,12 @@
             Member { member_id: MemberId(self.next_member_id), ..self.newcomers().next()?.clone() };
         let successor = |m: &Member| if m.member_id == departing { newcomer.clone() } else { m.clone() };
         let members = self.members.iter().map(successor).collect();
-        Some(MembershipChange { members, reason: Reason::SeatTaken })
+        Some(MembershipChange { members, reason: Reason::MemberReplaced })
     }
 
     fn give_up_seat(&self) -> Option<MembershipChange> {
         let departing = self.departing()?.member_id;
-        if self.members.len() <= least_members(self.losses) {
+        if self.members.len() <= min_members(self.losses) {
             return None;
         }
         let members: Vec<Member> =
@@ -119,12 +119,12 @@
             |m: &&Member| !self.silent.contains(&m.member_id) && !self.suspected.contains(&m.member_id);
         let reachable = members.iter().filter(heard).count();
         losses_borne(members.len(), reachable)?;
-        Some(MembershipChange { members, reason: Reason::SeatGivenUp })
+        Some(MembershipChange { members, reason: Reason::MemberRemoved })
     }
 
     fn widen(&self) -> Option<MembershipChange> {
         // A newcomer may be needed in the place of one of these.
-        if !self.suspected.is_empty() && self.members.len() >= least_members(self.losses) {
+        if !self.suspected.is_empty() && self.members.len() >= min_members(self.losses) {
             return None;
         }
         let member_ids = self.next_member_id..;
@@ -133,6 +133,6 @@
             .zip(member_ids)
             .map(|(m, member_id)| Member { member_id: MemberId(member_id), ..m.clone() });
         let members: Vec<Member> = self.members.iter().cloned().chain(added).collect();
-        (members != self.members).then_some(MembershipChange { members, reason: Reason::Widened })
+        (members != self.members).then_some(MembershipChange { members, reason: Reason::MembersAdded })
     }
 }
--- a/crates/controller/src/open.rs
+++ b/crates/controller/src/open_deployment.rs
@@ -5,7 +5,7 @@
 //! began at the first start only; if it can keep nothing it names one blank controller, and
 //! none other while that one may live. A roster then grows by cuts only.
 use crate::controller::Controller;
-use crate::membership_plan::least_members;
+use crate::membership_plan::min_members;
 use caesar::MemberId;
 use control_state::*;
 use primitives::{Addr, Birth, Mono, Span};
@@ -22,15 +22,15 @@
     }
 
     /// Keeps nothing itself.
-    pub(crate) fn passes_on(&self) -> bool {
+    pub(crate) fn is_relay_only(&self) -> bool {
         self.env.open.is_some_and(|o| !o.keeps)
     }
 
     fn may_found(&self) -> bool {
-        self.env.open.is_some_and(|o| o.keeps) && self.base.era == Era(0) && self.mach.is_none()
+        self.env.open.is_some_and(|o| o.keeps) && self.base.era == Era(0) && self.consensus.is_none()
     }
 
-    pub(crate) fn found_alone(&mut self, now: Mono, out: &mut Vec<Out>) {
+    pub(crate) fn found_as_first_seed(&mut self, now: Mono, out: &mut Vec<Out>) {
         if self.may_found() && self.first && self.first_seed() == Some(self.env.addr) {
             self.found_now(now, out);
         }
@@ -50,22 +50,22 @@
 
     /// Several times a second: names a founder, passes unjoined controllers on, lets them join,
     /// and tells the seeds who has a seat.
-    pub(crate) fn mind_roster(&mut self, now: Mono, out: &mut Vec<Out>) {
+    pub(crate) fn maintain_open_deployment(&mut self, now: Mono, out: &mut Vec<Out>) {
         if self.env.open.is_none() {
             return;
         }
-        if self.passes_on() {
+        if self.is_relay_only() {
             if self.due("pass", Span::ms(200), now) {
                 self.pass_on_unjoined(now, out);
             }
             return;
         }
-        if self.due("roster", Span::ms(500), now) && self.mach.is_some() {
-            let m = Msg::Roster(self.base.era, self.base.members.clone());
+        if self.due("roster", Span::ms(500), now) && self.consensus.is_some() {
+            let m = Msg::Membership(self.base.era, self.base.members.clone());
             let seat = |a: &&Addr| !self.base.members.iter().any(|m| m.addr == **a);
             out.extend(self.env.seeds.iter().filter(seat).map(|s| Out::Send(*s, m.clone())));
         }
-        self.mind_membership(now, out);
+        self.maintain_membership(now, out);
     }
 
     fn pass_on_unjoined(&mut self, now: Mono, out: &mut Vec<Out>) {
@@ -96,15 +96,15 @@
     /// could lose them with fewer disks than it is to bear.
     pub(crate) fn gathered(&self, now: Mono, c: &Change) -> bool {
         let Some(o) = self.env.open.filter(|_| matches!(c.op, Op::Edit(_))) else { return true };
-        let need = least_members(o.losses);
+        let need = min_members(o.losses);
         let roll = Roll::of(&self.state.items);
         let members = self.base.members.len();
         let enough = members >= need && roll.sets.last().is_some_and(|s| s.len() >= need);
-        enough || (members >= self.least_copies() && now - self.seated >= PATIENT)
+        enough || (members >= self.min_copies() && now - self.seated >= PATIENT)
     }
 
     /// Synced disks that an acknowledged change is on: one more than may be lost at once.
-    pub(crate) fn least_copies(&self) -> usize {
+    pub(crate) fn min_copies(&self) -> usize {
         self.env.open.map_or(0, |o| o.losses + 1)
     }
 }
--- a/crates/controller/src/pending.rs
+++ b/crates/controller/src/pending.rs
@@ -4,7 +4,7 @@
 //! wait for the command that carries them already; edits confirmed before need no second
 //! command that carries them.
 use crate::controller::Controller;
-use caesar::{Cid, MemberId};
+use caesar::{CommandId, MemberId};
 use control_state::*;
 use primitives::{Backoff, Mono, Span, Token};
 use std::collections::BTreeSet;
@@ -73,7 +73,7 @@
     /// they are in force, which edits of nothing find out.
     pub(crate) fn shortened(&self, change: Change) -> Change {
         match &change.op {
-            Op::Edit(edits) if change.id.is_none() && self.state.confirmed_all(edits) => {
+            Op::Edit(edits) if change.id.is_none() && self.state.all_confirmed(edits) => {
                 Change { id: None, op: Op::Edit(vec![]) }
             }
             _ => change,
@@ -101,9 +101,9 @@
     }
 
     /// Another controller's command that carries the change and was not delivered here.
-    fn elsewhere(&self, now: Mono, change: &Change) -> Option<(Cid, Pending)> {
+    fn elsewhere(&self, now: Mono, change: &Change) -> Option<(CommandId, Pending)> {
         let carries = |cmd: &Cmd| matches!(cmd, Cmd::Changes(all) if all.contains(change));
-        let mut open = self.mach.as_ref()?.under_way();
+        let mut open = self.consensus.as_ref()?.under_way();
         let (cid, cmd) = open.find(|(cid, cmd)| !self.pending.contains_key(cid) && carries(cmd))?;
         let Cmd::Changes(all) = cmd else { return None };
         let asked = all.iter().map(|c| Asked::new(c.clone(), None)).collect();
--- a/crates/controller/src/reading.rs
+++ b/crates/controller/src/reading.rs
@@ -1,7 +1,7 @@
 //! Reading the whole state by agreement: a command that clashes with every change, answered at
 //! its place in the order, so that nothing acknowledged before the question can be missing.
 use crate::controller::Controller;
-use caesar::Cid;
+use caesar::CommandId;
 use control_state::*;
 use primitives::{Mono, Token};
 
@@ -22,7 +22,7 @@
     }
 
     fn deny(self, now: Mono, why: &'static str, out: &mut Vec<Out>) {
-        out.push(Out::Tell(self.token, Receipt::NotNow(why)));
+        out.push(Out::Tell(self.token, NodeReply::Unavailable(why)));
         out.push(Out::Report(Report::Reading { outcome: why, took: now - self.asked }));
     }
 }
@@ -31,7 +31,7 @@
     /// Proposes a reading; the answer comes when it is delivered.
     pub(crate) fn read(&mut self, now: Mono, reader: Reader, out: &mut Vec<Out>) {
         let mut outputs = vec![];
-        if let Some(machine) = &mut self.mach {
+        if let Some(machine) = &mut self.consensus {
             let cid = machine.propose(now, Cmd::Look, &mut outputs);
             self.readers.insert(cid, reader);
         }
@@ -39,13 +39,13 @@
     }
 
     /// The reading has come to its place in the order.
-    pub(crate) fn answer_reader(&mut self, now: Mono, cid: Cid, out: &mut Vec<Out>) {
+    pub(crate) fn answer_reader(&mut self, now: Mono, cid: CommandId, out: &mut Vec<Out>) {
         let Some(reader) = self.readers.remove(&cid) else { return };
         let digest = || ItemsDigest::of(self.base.era, &self.state.items);
         let receipt = if reader.holds.is_some_and(|held| held == digest()) {
-            Receipt::Unchanged
+            NodeReply::Unchanged
         } else {
-            Receipt::Table(Box::new(self.state.shown()), self.beats_now(now))
+            NodeReply::Table(Box::new(self.state.shown()), self.current_heartbeats(now))
         };
         out.push(Out::Tell(reader.token, receipt));
         out.extend(reader.report(now, "answered"));
@@ -53,7 +53,7 @@
 
     /// The reading has lost its place in the order, which was filled without effect: it takes
     /// another one.
-    pub(crate) fn overtaken_reader(&mut self, now: Mono, cid: Cid, out: &mut Vec<Out>) {
+    pub(crate) fn retry_reading(&mut self, now: Mono, cid: CommandId, out: &mut Vec<Out>) {
         if let Some(reader) = self.readers.remove(&cid) {
             self.read(now, reader, out);
         }
@@ -61,8 +61,8 @@
 
     /// An era has ended with these readings under way: they are proposed anew in the next one,
     /// if this controller has a seat in it.
-    pub(crate) fn read_again(&mut self, now: Mono, out: &mut Vec<Out>) {
-        if self.mach.is_none() {
+    pub(crate) fn repropose_readings(&mut self, now: Mono, out: &mut Vec<Out>) {
+        if self.consensus.is_none() {
             return self.deny_all_readers(now, "not a member any more", out);
         }
         let readers = std::mem::take(&mut self.readers);
--- a/crates/controller/src/landing.rs
+++ b/crates/controller/src/retired_memberships.rs
@@ -5,7 +5,7 @@
 //! to an edge that does not know the newer one. An edge that goes by the old roster
 //! needs a renewal from each of its classic quorums, so there is then none that serves.
 use crate::controller::Controller;
-use caesar::{classic, MemberId};
+use caesar::{classic_quorum, MemberId};
 use control_state::*;
 use primitives::{Mono, Span};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,15 +17,15 @@
     fn down(&self, at: Era, roster: &[Member]) -> bool {
         let by = self.landed.get(&at);
         let past = |m: &&Member| by.is_some_and(|b| b.contains(&m.member_id));
-        roster.iter().filter(past).count() >= classic(roster.len())
+        roster.iter().filter(past).count() >= classic_quorum(roster.len())
     }
 
-    pub(crate) fn all_landed(&self) -> bool {
+    pub(crate) fn earlier_memberships_retired(&self) -> bool {
         self.base.past.iter().all(|(e, r)| self.down(*e, r))
     }
 
     /// Up to which era nobody goes by an earlier roster any more.
-    pub(crate) fn landed_to(&self) -> Era {
+    pub(crate) fn retired_up_to(&self) -> Era {
         let open = self.base.past.iter().find(|(e, r)| !self.down(*e, r));
         open.map_or(self.base.era, |(e, _)| Era(e.0 - 1))
     }
@@ -37,8 +37,8 @@
     /// A member that was only silent may still renew leases: nobody speaks for it.
     fn speaks_for(&self, now: Mono, seat: usize, m: &Member) -> bool {
         let mine = |m: &Member| m.addr == self.env.addr && m.birth == self.birth;
-        let outlived = now - self.seated > self.env.lease.padded() + self.env.pace.suspect;
-        let same_address = m.addr == self.env.addr && self.mach.is_some();
+        let outlived = now - self.seated > self.env.lease.padded() + self.env.pace.suspect_after;
+        let same_address = m.addr == self.env.addr && self.consensus.is_some();
         let by_operator = self.env.open.is_none() && self.base.members.get(seat).is_some_and(mine);
         mine(m) || (outlived && (same_address || by_operator))
     }
@@ -46,14 +46,14 @@
     /// Another member was lately heard in this era, and a round trip to it ended lately:
     /// without, this controller may have been replaced and not know it. What waited out a
     /// freeze is heard, and proves nothing.
-    pub(crate) fn in_company(&self, now: Mono) -> bool {
+    pub(crate) fn recently_reached_peer(&self, now: Mono) -> bool {
         let near = |k: &MemberId| *k != self.member_id && self.hears(now, *k) && self.reaches(now, *k);
-        self.mach.as_ref().is_some_and(|m| m.roster().len() == 1 || m.roster().iter().any(near))
+        self.consensus.as_ref().is_some_and(|m| m.roster().len() == 1 || m.roster().iter().any(near))
     }
 
     /// Says what it knows at first hand, as long as there is any roster left.
     pub(crate) fn land(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let every = if self.all_landed() { Span::secs(1) } else { Span::ms(100) };
+        let every = if self.earlier_memberships_retired() { Span::secs(1) } else { Span::ms(100) };
         if self.base.past.is_empty() || !self.due("land", every, now) {
             return;
         }
@@ -69,12 +69,17 @@
         }
     }
 
-    pub(crate) fn on_landed(&mut self, now: Mono, said: Vec<(Era, MemberId)>, out: &mut Vec<Out>) {
-        let before = self.all_landed();
+    pub(crate) fn on_membership_retired(
+        &mut self,
+        now: Mono,
+        said: Vec<(Era, MemberId)>,
+        out: &mut Vec<Out>,
+    ) {
+        let before = self.earlier_memberships_retired();
         for (e, k) in said {
             self.landed.entry(e).or_default().insert(k);
         }
-        if !before && self.all_landed() {
+        if !before && self.earlier_memberships_retired() {
             self.push(now, out);
         }
     }
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -1,5 +1,5 @@
 //! What a controller is told about itself.
-use caesar::Pace;
+use caesar::ReplicaConfig;
 use control_state::Zone;
 use primitives::{Addr, Span};
 
@@ -40,12 +40,12 @@
     /// An origin silent for this long is removed.
     pub vanish: Span,
     /// Bytes of records after which all is written anew in short.
-    pub base_after: usize,
+    pub compact_after_bytes: usize,
     /// Contact is proved by echoes; switched off only to show what hearing alone leads to.
     pub contact_by_echo: bool,
     /// Bytes that the state and the log behind it may take on disk: three eighths of the
     /// ring, so that both written anew find room beside them.
     pub room: usize,
     /// Timeouts of the agreement.
-    pub pace: Pace,
+    pub pace: ReplicaConfig,
 }
--- a/crates/controller/src/snapshot_transfer.rs
+++ b/crates/controller/src/snapshot_transfer.rs
@@ -44,7 +44,7 @@
 
     fn piece(&self, offset: u64) -> SnapshotMessage {
         let from = (offset as usize).min(self.bytes.len());
-        let to = (from + SNAPSHOT_PIECE).min(self.bytes.len());
+        let to = (from + SNAPSHOT_CHUNK_BYTES).min(self.bytes.len());
         let bytes = self.bytes[from..to].to_vec();
         SnapshotMessage::Piece { id: self.id, clock: self.clock, offset, bytes }
     }
@@ -71,7 +71,7 @@
             self.encoded.drain(..surplus);
         }
         let e = self.encoded.last().expect("encoded above");
-        if e.bytes.len() <= SNAPSHOT_PIECE {
+        if e.bytes.len() <= SNAPSHOT_CHUNK_BYTES {
             return e.piece(0);
         }
         SnapshotMessage::Offer { id: e.id, clock: e.clock }
@@ -124,7 +124,7 @@
     /// All pieces came, and they are what was promised.
     Whole(Box<ControlState>),
     /// All pieces came, and they are not what was promised.
-    Spoiled,
+    DigestMismatch,
 }
 
 /// Puts the pieces of one snapshot together.
@@ -189,7 +189,7 @@
             return self.ask(now);
         }
         let whole = self.incoming.take().and_then(Incoming::decode);
-        whole.map_or(Progress::Spoiled, |p| Progress::Whole(Box::new(p)))
+        whole.map_or(Progress::DigestMismatch, |p| Progress::Whole(Box::new(p)))
     }
 
     /// Asks again, elsewhere if it can, or gives up.
--- a/crates/controller/src/recs.rs
+++ b/crates/controller/src/stored_records.rs
@@ -1,5 +1,5 @@
 //! What a controller writes to its ring.
-use caesar::Rec;
+use caesar::LogRecord;
 use control_state::{Cmd, ControlState, Era};
 use primitives::Birth;
 use serde::{Deserialize, Serialize};
@@ -13,9 +13,9 @@
     /// of the same era after it, all that this disk ever promised.
     Base(Birth, Box<ControlState>),
     /// A promise or decision of the agreement, in that era.
-    Agreement(Era, Rec<Cmd>),
+    Agreement(Era, LogRecord<Cmd>),
     /// All of an era so far, in short.
-    Whole(Birth, Box<ControlState>, Vec<Rec<Cmd>>),
+    Whole(Birth, Box<ControlState>, Vec<LogRecord<Cmd>>),
     /// This disk began with the deployment itself.
     First,
 }
--- a/crates/controller/src/subscribers.rs
+++ b/crates/controller/src/subscribers.rs
@@ -1,9 +1,9 @@
 //! Edges and ledgers that follow this controller: their update streams, and the leases that
 //! hang on them.
 use crate::controller::Controller;
-use crate::update_stream::{Piece, UpdateStream, Wanted, MICROS_A_BYTE, PIECE};
-use crate::update_terms::Alike;
-use caesar::Cid;
+use crate::update_stream::{DeliveryMode, Piece, UpdateStream, MICROS_A_BYTE, PIECE};
+use crate::update_terms::SubscriberCounts;
+use caesar::CommandId;
 use control_state::*;
 use primitives::{Addr, Mono, NodeId, Span};
 use std::sync::Arc;
@@ -32,7 +32,7 @@
     /// The subscriber said last that it leaves.
     pub leaving: bool,
     /// How it wants items.
-    pub wanted: Wanted,
+    pub wanted: DeliveryMode,
 }
 
 impl Subscriber {
@@ -51,7 +51,14 @@
     }
 
     /// An acknowledgement makes room for the next piece.
-    pub(crate) fn on_got(&mut self, now: Mono, id: NodeId, stream: u64, got: u64, out: &mut Vec<Out>) {
+    pub(crate) fn on_acknowledgement(
+        &mut self,
+        now: Mono,
+        id: NodeId,
+        stream: u64,
+        got: u64,
+        out: &mut Vec<Out>,
+    ) {
         let Some(subscriber) = self.subscribers.get_mut(&id) else { return };
         if stream != 0 && subscriber.stream.id() == stream {
             subscriber.stream.acknowledge(now, got);
@@ -61,11 +68,11 @@
 
     /// A subscriber asks: it is answered with whatever it lacks, a lease if it lacks nothing,
     /// heartbeats and lent requests.
-    pub(crate) fn on_sub(&mut self, now: Mono, from: Addr, asked: Sub, out: &mut Vec<Out>) {
+    pub(crate) fn on_subscription(&mut self, now: Mono, from: Addr, asked: Sub, out: &mut Vec<Out>) {
         let registered = self.is_registered(&asked);
         self.see_to_newcomer(now, &asked, registered, out);
         let same_stream = self.resume_stream(now, from, &asked);
-        self.alike = Alike::count(self.subscribers.values().map(|s| s.wanted));
+        self.subscriber_counts = SubscriberCounts::count(self.subscribers.values().map(|s| s.wanted));
         let lent = registered && same_stream && self.renew_lease(now, &asked);
         let reply = self.reply(now, &asked, lent);
         let Some(mut subscriber) = self.subscribers.remove(&asked.id) else { return };
@@ -107,12 +114,12 @@
     /// named the present one.
     fn resume_stream(&mut self, now: Mono, from: Addr, asked: &Sub) -> bool {
         // The whole state would show what is not yet to be seen.
-        let may_start = self.all_shown() && self.may_feed(now);
+        let may_start = self.may_expose_state() && self.may_start_streams(now);
         let wait = self.start_again_after();
         let subscriber = self.subscribers.entry(asked.id).or_default();
         subscriber.addr = Some(from);
         subscriber.leaving = asked.node.standing == Standing::Leaving;
-        let wanted = if asked.source { Wanted::Whole } else { Wanted::Announced };
+        let wanted = if asked.source { DeliveryMode::Whole } else { DeliveryMode::Announced };
         if std::mem::replace(&mut subscriber.wanted, wanted) != wanted && asked.source {
             subscriber.stream.rewind();
         }
@@ -132,18 +139,18 @@
     }
 
     fn start_again_after(&self) -> Span {
-        let state = self.log.state_now(self.mach.as_ref().map_or(0, |m| m.bytes()));
+        let state = self.log.state_now(self.consensus.as_ref().map_or(0, |m| m.bytes()));
         START_AGAIN + Span(state.min(PIECE) as u64 * MICROS_A_BYTE)
     }
 
     /// A lease goes only to a subscriber that holds all this controller applied, and
     /// goes by no earlier membership; see `landing`.
     fn renew_lease(&mut self, now: Mono, asked: &Sub) -> bool {
-        let in_company = self.in_company(now) && self.caught_up();
+        let recently_reached_peer = self.recently_reached_peer(now) && self.caught_up();
         let era = self.base.era;
         let until = now + self.env.lease.padded();
         let Some(subscriber) = self.subscribers.get_mut(&asked.id) else { return false };
-        let renewed = in_company && asked.era >= era && !subscriber.stream.is_behind();
+        let renewed = recently_reached_peer && asked.era >= era && !subscriber.stream.is_behind();
         if renewed {
             subscriber.lease_until = subscriber.lease_until.max(until);
         }
@@ -161,7 +168,7 @@
             member_id: self.member_id,
             lent,
             at: asked.source.then_some(now),
-            beats: self.beats_since(now, told).filter(|_| is_edge && asked.source).collect(),
+            beats: self.heartbeats_since(now, told).filter(|_| is_edge && asked.source).collect(),
             slices: self.lend(now, asked),
             epoch: self.leadership.held_epoch(now),
         }
@@ -169,11 +176,11 @@
 
     /// The next piece of a stream, if anything may be shown at all.
     fn next_piece(&self, now: Mono, to: &mut Subscriber) -> Option<Piece> {
-        if to.stream.is_sent() || !(self.enough_heard() && self.all_landed()) {
+        if to.stream.is_sent() || !(self.heard_from_quorum() && self.earlier_memberships_retired()) {
             return None;
         }
-        let seen = |key: &Key, cid| self.may_be_seen(key, cid);
-        let terms = self.alike.terms(to.wanted);
+        let seen = |key: &Key, cid| self.is_visible(key, cid);
+        let terms = self.subscriber_counts.terms(to.wanted);
         to.stream.next_piece(now, &self.state, terms, seen)
     }
 
@@ -222,7 +229,7 @@
     }
 
     /// Numbers changed keys for every subscriber, so that no lease is renewed without them.
-    pub(crate) fn number(&mut self, changed: &[Key], cid: Option<Cid>) {
+    pub(crate) fn number(&mut self, changed: &[Key], cid: Option<CommandId>) {
         self.lending.changed(changed);
         let keys: Arc<[Key]> = changed.into();
         self.subscribers.values_mut().for_each(|s| s.stream.append(&keys, cid));
--- a/crates/controller/src/update_piece.rs
+++ b/crates/controller/src/update_piece.rs
@@ -1,5 +1,5 @@
 //! What update streams are made of.
-use caesar::Cid;
+use caesar::CommandId;
 use control_state::*;
 use primitives::{Mono, Version};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
     pub first: u64,
     pub keys: Arc<[Key]>,
     /// The command that changed them; none for the state that a stream starts with.
-    pub cid: Option<Cid>,
+    pub cid: Option<CommandId>,
 }
 
 impl Batch {
@@ -55,7 +55,7 @@
 
 /// A piece that was sent.
 #[derive(Copy, Clone, Debug)]
-pub(crate) struct UnderWay {
+pub(crate) struct InFlightPiece {
     pub to: u64,
     pub bytes: usize,
     pub sent: Mono,
--- a/crates/controller/src/update_stream.rs
+++ b/crates/controller/src/update_stream.rs
@@ -4,11 +4,11 @@
 //! Invariants: numbers only grow, also when the stream starts anew, so a number once noted
 //! never stands for less. No more than a window's bytes are under way, unless it is one piece.
 pub use crate::update_piece::Piece;
-use crate::update_piece::{Batch, UnderWay};
-pub use crate::update_terms::{Alike, Terms, Wanted, WINDOW};
-use caesar::Cid;
+use crate::update_piece::{Batch, InFlightPiece};
+pub use crate::update_terms::{DeliveryMode, SendTerms, SubscriberCounts, WINDOW};
+use caesar::CommandId;
 use control_state::*;
-use primitives::{AnswerTime, Mono, Span};
+use primitives::{Mono, ResponseTimeEstimator, Span};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -43,9 +43,9 @@
     sent: u64,
     acknowledged: u64,
     batches: VecDeque<Batch>,
-    under_way: VecDeque<UnderWay>,
+    under_way: VecDeque<InFlightPiece>,
     /// How long acknowledgements take.
-    answer_time: AnswerTime,
+    answer_time: ResponseTimeEstimator,
     /// When something was last sent or acknowledged.
     progress: Mono,
     /// Times that something was sent again, and that it was started anew, since the last
@@ -124,7 +124,7 @@
     }
 
     /// Numbers changed keys. A stream too long to be worth sending waits to be started anew.
-    pub fn append(&mut self, keys: &Arc<[Key]>, cid: Option<Cid>) {
+    pub fn append(&mut self, keys: &Arc<[Key]>, cid: Option<CommandId>) {
         if keys.is_empty() {
             return;
         }
@@ -186,11 +186,11 @@
         &mut self,
         now: Mono,
         state: &ControlState,
-        terms: Terms,
-        may_be_seen: impl Fn(&Key, Option<Cid>) -> bool,
+        terms: SendTerms,
+        is_visible: impl Fn(&Key, Option<CommandId>) -> bool,
     ) -> Option<Piece> {
-        let announces = terms.wanted == Wanted::Announced && self.retries < WHOLE_AFTER;
-        let whole_after_all = terms.wanted == Wanted::Announced && !announces;
+        let announces = terms.wanted == DeliveryMode::Announced && self.retries < WHOLE_AFTER;
+        let whole_after_all = terms.wanted == DeliveryMode::Announced && !announces;
         // Many may need it at once: one piece each.
         let window = if whole_after_all { 0 } else { terms.window };
         let room = self.under_way.is_empty() || self.bytes_under_way() < window;
@@ -206,7 +206,7 @@
         for (key, cid) in updates {
             let item = state.item(key);
             bytes += key.size() + item.size();
-            if !may_be_seen(key, cid) || (bytes > PIECE && to > from.max(self.start)) {
+            if !is_visible(key, cid) || (bytes > PIECE && to > from.max(self.start)) {
                 break;
             }
             to += 1;
@@ -217,7 +217,7 @@
         }
         self.sent = to;
         self.progress = now;
-        self.under_way.push_back(UnderWay { to, bytes: bytes.min(PIECE), sent: now });
+        self.under_way.push_back(InFlightPiece { to, bytes: bytes.min(PIECE), sent: now });
         let piece = Piece { from, to, starts, items, announced: vec![] };
         Some(if announces && bytes > SMALL { piece.announce() } else { piece })
     }
--- a/crates/controller/src/update_terms.rs
+++ b/crates/controller/src/update_terms.rs
@@ -9,7 +9,7 @@
 
 /// How a subscriber wants items.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
-pub enum Wanted {
+pub enum DeliveryMode {
     /// All of them whole.
     #[default]
     Whole,
@@ -19,39 +19,39 @@
 
 /// On what terms a subscriber is sent items.
 #[derive(Copy, Clone, Debug)]
-pub struct Terms {
+pub struct SendTerms {
     /// How it wants them.
-    pub wanted: Wanted,
+    pub wanted: DeliveryMode,
     /// Bytes that may be under way; items that are announced count as if they were sent.
     pub window: usize,
 }
 
 /// How many subscribers want items in each way.
 #[derive(Copy, Clone, Debug, Default)]
-pub struct Alike {
+pub struct SubscriberCounts {
     whole: usize,
     announced: usize,
 }
 
-impl Alike {
+impl SubscriberCounts {
     /// Counts them.
-    pub fn count(all: impl Iterator<Item = Wanted>) -> Alike {
-        all.fold(Alike::default(), |mut alike, wanted| {
+    pub fn count(all: impl Iterator<Item = DeliveryMode>) -> SubscriberCounts {
+        all.fold(SubscriberCounts::default(), |mut subscriber_counts, wanted| {
             match wanted {
-                Wanted::Whole => alike.whole += 1,
-                Wanted::Announced => alike.announced += 1,
+                DeliveryMode::Whole => subscriber_counts.whole += 1,
+                DeliveryMode::Announced => subscriber_counts.announced += 1,
             }
-            alike
+            subscriber_counts
         })
     }
 
     /// What each of those who want it so is sent: they share what may be under way.
-    pub fn terms(&self, wanted: Wanted) -> Terms {
+    pub fn terms(&self, wanted: DeliveryMode) -> SendTerms {
         let subscribers = match wanted {
-            Wanted::Whole => self.whole,
-            Wanted::Announced => self.announced,
+            DeliveryMode::Whole => self.whole,
+            DeliveryMode::Announced => self.announced,
         };
         let share = UNDER_WAY / subscribers.max(1);
-        Terms { wanted, window: share.clamp(WINDOW, LARGEST_WINDOW) }
+        SendTerms { wanted, window: share.clamp(WINDOW, LARGEST_WINDOW) }
     }
 }
