--- a/crates/dev-fleet/src/error.rs
+++ b/crates/dev-fleet/src/error.rs
@@ -1,18 +1,18 @@
 //! What can go wrong while a development fleet is driven.
-use primitives::LookProblem;
-use runtime::env::EnvProblem;
+use primitives::JsonError;
+use runtime::settings::SettingsError;
 use snafu::Snafu;
 
 /// Why a command of the development fleet failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum FleetProblem {
+pub enum FleetError {
     /// The settings file is invalid.
     #[snafu(display("{source}"), context(false))]
-    Env { source: EnvProblem },
+    Env { source: SettingsError },
     /// The rehearsal part of the settings file is invalid.
     #[snafu(display("{source}"), context(false))]
-    Mix { source: LookProblem },
+    Mix { source: JsonError },
     /// There is no rehearsal part.
     #[snafu(display("the settings file has no rehearsal part"))]
     NoMix,
@@ -43,4 +43,4 @@
 }
 
 /// What the development fleet's functions return.
-pub type Result<T> = std::result::Result<T, FleetProblem>;
+pub type Result<T> = std::result::Result<T, FleetError>;
--- a/crates/dev-fleet/src/fleet.rs
+++ b/crates/dev-fleet/src/fleet.rs
@@ -5,7 +5,7 @@
 use control_state::Role;
 use nix::sys::signal::Signal;
 use primitives::{Addr, Look};
-use runtime::env::{role_name, Env, Place};
+use runtime::settings::{role_name, Env, Place};
 use snafu::{OptionExt, ResultExt};
 use stand_ins::mix::{read_mix, Mix, OriginSettings};
 use std::path::{Path, PathBuf};
--- a/crates/dev-fleet/src/main.rs
+++ b/crates/dev-fleet/src/main.rs
@@ -13,7 +13,7 @@
 
 use clap::{value_parser, Arg, ArgMatches, Command};
 use control_state::Role;
-use error::{FleetProblem, Result};
+use error::{FleetError, Result};
 use fleet::Fleet;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -56,7 +56,7 @@
 }
 
 fn signals() -> Result<Signals> {
-    let os = |source| FleetProblem::Os { what: "signals".into(), source };
+    let os = |source| FleetError::Os { what: "signals".into(), source };
     Signals::new([SIGINT, SIGTERM]).map_err(os)
 }
 
--- a/crates/dev-fleet/src/replacements.rs
+++ b/crates/dev-fleet/src/replacements.rs
@@ -5,7 +5,7 @@
 use crate::scenarios::{edit, set_faults, ALL_READY_S, NODE_READY_S};
 use control_state::{num, obj, text, Role};
 use nix::sys::signal::Signal;
-use runtime::env::Place;
+use runtime::settings::Place;
 use snafu::ensure;
 use stand_ins::load_client::PurgedEdition;
 use stand_ins::stub_origin::wall_ms;
--- a/crates/dev-fleet/src/scale.rs
+++ b/crates/dev-fleet/src/scale.rs
@@ -14,10 +14,10 @@
 
 /// Why the scale model was not run.
 #[derive(Debug, Snafu)]
-pub enum ScaleProblem {
+pub enum ScaleError {
     /// The scale model refused or failed.
     #[snafu(display("{source}"), context(false))]
-    ScaleModel { source: scale_model::ScaleModelProblem },
+    ScaleModel { source: scale_model::ScaleModelError },
     /// A file or a process could not be read or written.
     #[snafu(display("{what}: {source}"))]
     Io { what: String, source: std::io::Error },
@@ -26,7 +26,7 @@
     Ended { nodes: usize, seed: u64 },
 }
 
-type Result<T> = std::result::Result<T, ScaleProblem>;
+type Result<T> = std::result::Result<T, ScaleError>;
 
 fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     let arg = Arg::new(name).long(name).default_value(default).value_parser(value_parser!(u64));
--- a/crates/dev-fleet/src/wait.rs
+++ b/crates/dev-fleet/src/wait.rs
@@ -3,7 +3,7 @@
 use crate::fleet::Fleet;
 use control_state::{num, obj, text, Role};
 use primitives::Addr;
-use runtime::env::Place;
+use runtime::settings::Place;
 use stand_ins::mix::TableRow;
 use stand_ins::web;
 use std::collections::HashMap;
--- a/crates/edge/src/press.rs
+++ b/crates/edge/src/admission.rs
@@ -6,17 +6,17 @@
 use std::collections::BTreeMap;
 
 #[derive(Debug, Default)]
-pub(crate) struct Press {
+pub(crate) struct Admission {
     /// Invariant: never goes down; slices of lower epochs are not used.
     pub epoch: Epoch,
     /// Who lends now, and when it was last asked out of turn.
     holder: Option<Addr>,
-    urged: Mono,
-    purses: BTreeMap<Svc, Purse>,
+    last_urgent_request: Mono,
+    token_buckets: BTreeMap<Svc, TokenBucket>,
 }
 
 #[derive(Debug, Default)]
-struct Purse {
+struct TokenBucket {
     /// Of the edge's own share. Starts empty.
     own: f64,
     at: Option<Mono>,
@@ -30,25 +30,25 @@
     /// Requests in line that the leader was told of and has not lent for.
     told: u32,
     /// When the leader is asked out of turn again, while some wait.
-    urging: Option<Urging>,
+    urgent_requests: Option<UrgentRequests>,
 }
 
 /// Saved up at the most, where the deployment allows no more.
 const EXTRA_MOST: f64 = 1.0;
 /// Out of turn at most this often, and so often only for as long as a lender with something
 /// saved up would take; after that ever more seldom.
-const URGE: Span = Span::ms(20);
-const URGE_EAGERLY: Span = Span::ms(160);
-const URGE_LONGEST: Span = Span::secs(1);
+const URGENT_REQUEST_INTERVAL: Span = Span::ms(20);
+const URGENT_REQUEST_BURST: Span = Span::ms(160);
+const URGENT_REQUEST_MAX_INTERVAL: Span = Span::secs(1);
 
 /// Asking out of turn, while some wait.
 #[derive(Debug)]
-struct Urging {
+struct UrgentRequests {
     since: Mono,
     again: Backoff,
 }
 
-impl Purse {
+impl TokenBucket {
     /// Earns of the own share; tells how many lent requests were not used in time.
     fn fill(&mut self, now: Mono, s: &Share, own: f64) -> usize {
         let since = self.at.map_or(Span(0), |t| now - t);
@@ -67,7 +67,7 @@
     fn tell(&mut self, waiting: u32) {
         self.told = waiting;
         if waiting == 0 {
-            self.urging = None;
+            self.urgent_requests = None;
         }
     }
 
@@ -75,18 +75,21 @@
         self.tell(self.told.saturating_sub(lent));
     }
 
-    fn may_urge(&mut self, now: Mono) -> bool {
-        let begin = || Urging { since: now, again: Backoff::new(now, URGE_EAGERLY, URGE_LONGEST) };
-        let urging = self.urging.get_or_insert_with(begin);
-        now - urging.since < URGE_EAGERLY || urging.again.due(now)
+    fn may_request_now(&mut self, now: Mono) -> bool {
+        let begin = || UrgentRequests {
+            since: now,
+            again: Backoff::new(now, URGENT_REQUEST_BURST, URGENT_REQUEST_MAX_INTERVAL),
+        };
+        let urgent_requests = self.urgent_requests.get_or_insert_with(begin);
+        now - urgent_requests.since < URGENT_REQUEST_BURST || urgent_requests.again.due(now)
     }
 }
 
 impl Edge {
-    fn purse(&mut self, now: Mono, svc: &Svc) -> Option<&mut Purse> {
+    fn token_bucket(&mut self, now: Mono, svc: &Svc) -> Option<&mut TokenBucket> {
         let s = *self.table.shares.get(svc)?;
         let own = self.table.own_rate(self.follow.env.id, &s);
-        let p = self.press.purses.entry(svc.clone()).or_default();
+        let p = self.press.token_buckets.entry(svc.clone()).or_default();
         self.metrics.note_tokens(Token::LentUnused, p.fill(now, &s, own));
         Some(p)
     }
@@ -98,12 +101,12 @@
         if free {
             return Some(now + Span::secs(60));
         }
-        let p = self.purse(now, svc)?;
+        let p = self.token_bucket(now, svc)?;
         let (token, until) = if !p.lent.is_empty() {
             (Token::LentUsed, p.lent.remove(0))
         } else if p.own >= 1.0 {
             p.own -= 1.0;
-            (Token::OwnUsed, now + LENT)
+            (Token::OwnUsed, now + BORROWED_TOKEN_TTL)
         } else {
             return None;
         };
@@ -116,25 +119,25 @@
         if self.table.shares.get(svc).is_some_and(Share::free) {
             return;
         }
-        self.purse(now, svc).into_iter().for_each(|p| {
+        self.token_bucket(now, svc).into_iter().for_each(|p| {
             if until > now {
                 p.lent.push(until);
             }
         });
     }
 
-    pub(crate) fn first_try(&mut self, now: Mono, svc: &Svc) {
+    pub(crate) fn note_first_attempt(&mut self, now: Mono, svc: &Svc) {
         let e = &self.env.policy;
         let most = (e.saved / self.table.edges.max(1) as f64).max(EXTRA_MOST);
-        let earn = e.earn;
-        self.purse(now, svc).into_iter().for_each(|p| {
+        let retry_credit_per_request = e.retry_credit_per_request;
+        self.token_bucket(now, svc).into_iter().for_each(|p| {
             p.recent += 1;
-            p.extra = (p.extra + earn).min(most);
+            p.extra = (p.extra + retry_credit_per_request).min(most);
         });
     }
 
-    pub(crate) fn extra_try(&mut self, now: Mono, svc: &Svc) -> bool {
-        self.purse(now, svc).is_some_and(|p| {
+    pub(crate) fn take_retry_token(&mut self, now: Mono, svc: &Svc) -> bool {
+        self.token_bucket(now, svc).is_some_and(|p| {
             let ok = p.extra >= 1.0;
             p.extra -= ok as u8 as f64;
             ok
@@ -152,7 +155,7 @@
         let mut v = vec![];
         for (svc, s) in &shares {
             let own = self.table.own_rate(self.follow.env.id, s);
-            let Some(p) = self.purse(now, svc) else { continue };
+            let Some(p) = self.token_bucket(now, svc) else { continue };
             let gone = (now - p.asked).0 as f64 / 1e6;
             p.asked = now;
             let more = (p.recent as f64 - own * gone).max(0.0).ceil() as u32;
@@ -170,17 +173,21 @@
 
     /// Somebody waits in line: the holder is asked at once, not in turn. One that has nothing
     /// to lend is asked ever more seldom.
-    pub(crate) fn urge(&mut self, now: Mono, svc: &Svc, out: &mut Vec<Out>) {
-        let Some(to) = self.press.holder.filter(|_| now - self.press.urged >= URGE) else { return };
-        if !self.purse(now, svc).is_some_and(|p| p.may_urge(now)) {
+    pub(crate) fn request_tokens_now(&mut self, now: Mono, svc: &Svc, out: &mut Vec<Out>) {
+        let Some(to) =
+            self.press.holder.filter(|_| now - self.press.last_urgent_request >= URGENT_REQUEST_INTERVAL)
+        else {
+            return;
+        };
+        if !self.token_bucket(now, svc).is_some_and(|p| p.may_request_now(now)) {
             return;
         }
-        self.press.urged = now;
+        self.press.last_urgent_request = now;
         let wants = self.wants(now);
         out.push(self.follow.sub(now, to, &wants, self.press.epoch));
     }
 
-    pub(crate) fn take_slices(&mut self, now: Mono, from: Addr, r: &Reply, out: &mut Vec<Out>) {
+    pub(crate) fn accept_borrowed_tokens(&mut self, now: Mono, from: Addr, r: &Reply, out: &mut Vec<Out>) {
         if r.epoch < self.press.epoch || r.epoch == Epoch(0) {
             return;
         }
@@ -190,10 +197,10 @@
             return;
         }
         for (svc, n) in &r.slices {
-            let until = r.ask + LENT;
+            let until = r.ask + BORROWED_TOKEN_TTL;
             let late = until <= now;
             self.metrics.note_tokens(if late { Token::LentLate } else { Token::Lent }, *n as usize);
-            self.purse(now, svc).into_iter().for_each(|p| {
+            self.token_bucket(now, svc).into_iter().for_each(|p| {
                 p.note_lent(*n);
                 if !late {
                     p.lent.extend((0..*n).map(|_| until));
@@ -201,6 +208,6 @@
                 }
             });
         }
-        self.serve_line(now, out);
+        self.start_queued_jobs(now, out);
     }
 }
--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -3,8 +3,8 @@
 use crate::copies::Copy;
 use crate::edge::Edge;
 use crate::jobs::Stage;
-use crate::read::WAY_OUT;
-use crate::sources::{Inquiry, Source, WORTH};
+use crate::read::DELIVERY_MARGIN;
+use crate::sources::{CopyRequest, Source, MIN_DISK_CACHE_TTL};
 use control_state::*;
 use primitives::{Addr, Mono, Span};
 use std::sync::Arc;
@@ -20,12 +20,12 @@
 
 impl Edge {
     /// The name under which a question of this life goes out.
-    pub(crate) fn ask_id(&self, n: u64) -> AskId {
-        AskId { birth: self.follow.env.birth, n }
+    pub(crate) fn ask_id(&self, n: u64) -> RequestId {
+        RequestId { birth: self.follow.env.birth, n }
     }
 
     /// The number of the question, if this very life asked it.
-    pub(crate) fn own_number(&mut self, ask: AskId) -> Option<u64> {
+    pub(crate) fn own_number(&mut self, ask: RequestId) -> Option<u64> {
         if ask.birth != self.follow.env.birth {
             self.count(OTHER_LIFE);
             return None;
@@ -39,11 +39,18 @@
             self.count(OTHER_LIFE);
             return None;
         }
-        self.own_number(AskId { birth: round.birth, n: round.n })
+        self.own_number(RequestId { birth: round.birth, n: round.n })
     }
 
     /// A ledger takes the copy: with what is left of its life at this moment.
-    pub(crate) fn on_stock_want(&mut self, now: Mono, from: Addr, ask: AskId, at: Mono, out: &mut Vec<Out>) {
+    pub(crate) fn on_stock_want(
+        &mut self,
+        now: Mono,
+        from: Addr,
+        ask: RequestId,
+        at: Mono,
+        out: &mut Vec<Out>,
+    ) {
         let Some(n) = self.own_number(ask) else { return };
         let Some(object) = self.offers.remove(&n) else { return self.count(UNASKED) };
         let copy = self.copies.get(now, &object).filter(|_| self.leased(now));
@@ -52,29 +59,29 @@
             let shown = c.show(now, c.until);
             out.push(Out::Send(
                 from,
-                Msg::StockPut(at, Box::new(StockPut { object, shown, mark, sure: self.follow.sure })),
+                Msg::DiskCachePut(at, Box::new(DiskCachePut { object, shown, mark, sure: self.follow.sure })),
             ));
         }
     }
 
-    pub(crate) fn on_copy_wait(&mut self, now: Mono, from: Addr, ask: AskId) {
+    pub(crate) fn on_copy_wait(&mut self, now: Mono, from: Addr, ask: RequestId) {
         let Some(id) = self.own_number(ask) else { return };
-        let Some((inquiry, _)) = self.answered(id, from) else { return self.count(UNASKED) };
-        self.note_answer_time(now, &inquiry);
+        let Some((copy_request, _)) = self.answered(id, from) else { return self.count(UNASKED) };
+        self.note_answer_time(now, &copy_request);
         self.mute.remove(&from);
         let Some(j) = self.jobs.get_mut(&id) else { return };
         let open = j.overdue.iter_mut().find(|i| i.to == from);
-        let current = if let Stage::Home(inquiry) = &mut j.stage { Some(inquiry) } else { None };
+        let current = if let Stage::Home(copy_request) = &mut j.stage { Some(copy_request) } else { None };
         let same = current.filter(|i| i.to == from).or(open);
-        same.into_iter().for_each(|i| i.at_it = Some(now));
+        same.into_iter().for_each(|i| i.last_progress_at = Some(now));
     }
 
     /// The question of a job that this answers, if it still waits for it: the last one, or an
     /// earlier one that was overdue.
-    fn answered(&self, id: u64, from: Addr) -> Option<(Inquiry, bool)> {
+    fn answered(&self, id: u64, from: Addr) -> Option<(CopyRequest, bool)> {
         let j = self.jobs.get(&id)?;
         let current = match j.stage {
-            Stage::Home(inquiry) if inquiry.to == from => Some((inquiry, true)),
+            Stage::Home(copy_request) if copy_request.to == from => Some((copy_request, true)),
             _ => None,
         };
         let waits = matches!(j.stage, Stage::Home(_) | Stage::Line);
@@ -85,75 +92,81 @@
     pub(crate) fn on_copy_got(
         &mut self,
         now: Mono,
-        (from, ask): (Addr, AskId),
-        said: CopySaid,
+        (from, ask): (Addr, RequestId),
+        said: CopyReply,
         purges: u64,
         out: &mut Vec<Out>,
     ) {
         let Some(id) = self.own_number(ask) else { return };
-        let Some((inquiry, current)) = self.answered(id, from) else { return self.count(UNASKED) };
-        self.note_answer_time(now, &inquiry);
+        let Some((copy_request, current)) = self.answered(id, from) else { return self.count(UNASKED) };
+        self.note_answer_time(now, &copy_request);
         // It is slow, not gone.
         self.mute.remove(&from);
         let Some(j) = self.jobs.get(&id) else { return };
         let (good, object, lane) = (!j.spoiled && self.leased(now), j.object(), j.req.lane.clone());
-        let lives_long = j.row.ttl >= WORTH;
-        let stocked = inquiry.source == Source::Ledger;
+        let lives_long = j.row.ttl >= MIN_DISK_CACHE_TTL;
+        let stocked = copy_request.source == Source::Ledger;
         // A ledger has looked at its copy's mark itself.
         let same_purges = stocked || purges == self.purges();
         // The copy's rest of life counts from when it was asked for.
-        let lives = |left: Span| good && inquiry.asked + left > now;
+        let lives = |left: Span| good && copy_request.asked + left > now;
         let lapsed_on_its_way = match &said {
-            CopySaid::Got(c) => good && !lives(c.left),
-            CopySaid::Same { left, .. } => good && !lives(*left),
+            CopyReply::Got(c) => good && !lives(c.left),
+            CopyReply::Same { left, .. } => good && !lives(*left),
             _ => false,
         };
         match said {
-            CopySaid::Got(c) if self.purged_tags.took(&c.whole.heads, inquiry.asked) => {
+            CopyReply::Got(c) if self.purged_tags.took(&c.whole.heads, copy_request.asked) => {
                 self.count("purged on their way");
                 if current {
-                    self.ask_source(now, id, inquiry.source, out);
+                    self.ask_source(now, id, copy_request.source, out);
                 }
             }
-            CopySaid::Got(c) if lives(c.left) && (same_purges || now - inquiry.asked < UNSURE) => {
-                let (since, until) =
-                    (inquiry.asked - c.aged, (inquiry.asked + c.left).min(self.leased_until()));
+            CopyReply::Got(c) if lives(c.left) && (same_purges || now - copy_request.asked < UNSURE) => {
+                let (since, until) = (
+                    copy_request.asked - c.current_age,
+                    (copy_request.asked + c.left).min(self.leased_until()),
+                );
                 self.count(if stocked { "filled from ledgers" } else { "filled from homes" });
                 // Whoever knew other purges may have shown what one of them took.
                 let sure = same_purges && c.whole.status == 200;
                 self.body_sizes.note(&lane, c.whole.size());
-                let guest = !self.is_home_after(inquiry.source);
+                let guest = !self.is_home_after(copy_request.source);
                 let copy = Copy { whole: Arc::new(c.whole), public: c.public, since, until, guest };
                 if sure {
                     self.keep(now, object, copy.clone());
                 }
                 self.serve_copy(now, id, copy, out);
             }
-            CopySaid::Same { left, aged } if lives(left) => match self.copies.peek(&object).cloned() {
-                Some(was) => {
-                    let (since, until) =
-                        (inquiry.asked - aged, (inquiry.asked + left).min(self.leased_until()));
-                    self.count("renewed from homes");
-                    let copy = Copy { since, until, ..was };
-                    self.copies.put(object, copy.clone());
-                    self.serve_copy(now, id, copy, out);
+            CopyReply::Same { left, current_age } if lives(left) => {
+                match self.copies.peek(&object).cloned() {
+                    Some(was) => {
+                        let (since, until) = (
+                            copy_request.asked - current_age,
+                            (copy_request.asked + left).min(self.leased_until()),
+                        );
+                        self.count("renewed from homes");
+                        let copy = Copy { since, until, ..was };
+                        self.copies.put(object, copy.clone());
+                        self.serve_copy(now, id, copy, out);
+                    }
+                    // It left the shelf for room: the whole is wanted after all.
+                    None if current => self.ask_source(now, id, copy_request.source, out),
+                    None => (),
                 }
-                // It left the shelf for room: the whole is wanted after all.
-                None if current => self.ask_source(now, id, inquiry.source, out),
-                None => (),
-            },
+            }
             // The home's own copy has lapsed too by now: it renews it when it is asked again.
             _ if lapsed_on_its_way && lives_long && current => {
                 self.count("lapsed on their way");
-                self.ask_source(now, id, inquiry.source, out);
+                self.ask_source(now, id, copy_request.source, out);
             }
-            CopySaid::Personal => self.part_ways(now, id, None, out),
-            CopySaid::Own(w) => {
-                let s = Step::Serve(Arc::new(*w), Shared::Own, Mono(u64::MAX));
+            CopyReply::Uncacheable => self.split_unshared_callers(now, id, None, out),
+            CopyReply::Own(w) => {
+                let s = Step::Serve(Arc::new(*w), AnswerSource::Own, Mono(u64::MAX));
                 self.finish(now, id, s, out);
             }
-            CopySaid::NotYet if current => self.ask_another(now, id, inquiry, out),
-            CopySaid::AtCeiling if current => self.denied_by_home(now, id, inquiry, out),
+            CopyReply::TemporarilyUnavailable if current => self.ask_another(now, id, copy_request, out),
+            CopyReply::AtCeiling if current => self.denied_by_home(now, id, copy_request, out),
             _ if current => self.ask_next(now, id, out),
             _ => (),
         }
@@ -161,10 +174,10 @@
 
     /// That is the word for those who waited when the home was asked; it is asked again for those
     /// who came since, and have more time.
-    fn denied_by_home(&mut self, now: Mono, id: u64, inquiry: Inquiry, out: &mut Vec<Out>) {
-        self.deny_some(now, id, |_, c| c.since <= inquiry.asked, out);
+    fn denied_by_home(&mut self, now: Mono, id: u64, copy_request: CopyRequest, out: &mut Vec<Out>) {
+        self.deny_some(now, id, |_, c| c.since <= copy_request.asked, out);
         if self.jobs.contains_key(&id) {
-            self.ask_source(now, id, inquiry.source, out);
+            self.ask_source(now, id, copy_request.source, out);
         }
     }
 
@@ -174,7 +187,7 @@
     }
 
     fn serve_copy(&mut self, now: Mono, id: u64, c: Copy, out: &mut Vec<Out>) {
-        let out_by = (c.until + WAY_OUT).min(self.leased_until());
-        self.finish(now, id, Step::Serve(c.whole, Shared::Copy(now - c.since), out_by), out);
+        let out_by = (c.until + DELIVERY_MARGIN).min(self.leased_until());
+        self.finish(now, id, Step::Serve(c.whole, AnswerSource::Copy(now - c.since), out_by), out);
     }
 }
--- a/crates/edge/src/sharing.rs
+++ b/crates/edge/src/cacheability.rs
@@ -18,10 +18,10 @@
     /// How long a copy may live, at most the row's time; nought is no copy.
     pub life: Span,
     /// How old it was when it came.
-    pub aged: Span,
+    pub current_age: Span,
 }
 
-fn map(heads: &control_state::Heads) -> HeaderMap {
+fn map(heads: &control_state::Headers) -> HeaderMap {
     let one = |(n, v): (&str, &[u8])| {
         Some((HeaderName::from_bytes(n.as_bytes()).ok()?, HeaderValue::from_bytes(v).ok()?))
     };
@@ -44,7 +44,7 @@
     names.any(|n| !n.is_empty() && n != "accept-encoding")
 }
 
-pub(crate) fn sharing(req: &Req, w: &Whole, row: Span) -> Sharing {
+pub(crate) fn sharing(req: &CallerRequest, w: &Whole, row: Span) -> Sharing {
     let heads = map(&w.heads);
     let said = directives(&heads);
     let says = |d: &str| said.iter().any(|s| s == d || s.starts_with(&format!("{d}=")));
@@ -75,7 +75,7 @@
         || !(policy.is_storable() || w.status >= 300);
     let life = if personal || w.status != 200 { Span(0) } else { theirs.min(row) };
     let age = w.heads.get("age").and_then(|a| a.trim().parse().ok()).unwrap_or(0);
-    Sharing { personal, public, life, aged: Span::secs(age) }
+    Sharing { personal, public, life, current_age: Span::secs(age) }
 }
 
 /// How long an object counts as not for sharing.
@@ -84,7 +84,13 @@
 impl Edge {
     /// The answer is not for sharing: the first caller has it, if it was fetched
     /// here for that one; all others are answered by the origin, each by itself.
-    pub(crate) fn part_ways(&mut self, now: Mono, id: u64, own: Option<Step>, out: &mut Vec<Out>) {
+    pub(crate) fn split_unshared_callers(
+        &mut self,
+        now: Mono,
+        id: u64,
+        own: Option<Step>,
+        out: &mut Vec<Out>,
+    ) {
         let Some(j) = self.jobs.get_mut(&id) else { return };
         let (mut rest, obj) = (std::mem::take(&mut j.callers), j.object());
         let first = rest.iter().take(1).any(|c| matches!(c.caller, Caller::Local(..))) && own.is_some();
@@ -92,13 +98,13 @@
             j.callers.push(rest.remove(0));
         }
         self.count("not for sharing");
-        self.solo.insert(obj, now + ALONE);
-        let last = own.unwrap_or(Step::Doubt(Span::secs(1)));
+        self.unshared.insert(obj, now + ALONE);
+        let last = own.unwrap_or(Step::OutcomeUnknown(Span::secs(1)));
         self.finish(now, id, last, out);
         for c in rest {
             match c.caller {
                 Caller::Edge(a, ask) => {
-                    out.push(self.copy_got(a, ask, CopySaid::Personal));
+                    out.push(self.copy_got(a, ask, CopyReply::Uncacheable));
                 }
                 Caller::Local(t, req) => self.enter(now, t, req, out),
             }
@@ -112,16 +118,16 @@
     use std::sync::Arc;
 
     fn judge(asked: &[(&str, &str)], said: &[(&str, &str)], status: u16) -> Sharing {
-        let heads = |l: &[(&str, &str)]| l.iter().fold(Heads::default(), |h, (n, v)| h.with(n, *v));
+        let heads = |l: &[(&str, &str)]| l.iter().fold(Headers::default(), |h, (n, v)| h.with(n, *v));
         let (method, body) = ("GET".into(), Arc::new(vec![]));
-        let req = Req {
+        let req = CallerRequest {
             method,
             lane: "l".into(),
             path: "x".into(),
             key: None,
             heads: heads(asked),
             body,
-            ..Req::default()
+            ..CallerRequest::default()
         };
         let w = Whole { status, heads: heads(said), ..Whole::default() };
         sharing(&req, &w, Span::secs(60))
--- a/crates/edge/src/claim.rs
+++ b/crates/edge/src/claim.rs
@@ -8,7 +8,7 @@
 pub(crate) struct Claim {
     pub round: RoundId,
     pub key: String,
-    pub print: Print,
+    pub print: Fingerprint,
     /// The key's ledgers, for each set of the roll as it was when it was claimed.
     pub named: Vec<Vec<Addr>>,
     /// The version of that roll.
--- a/crates/edge/src/copies.rs
+++ b/crates/edge/src/copies.rs
@@ -1,5 +1,5 @@
 //! Shared copies of readable content, in memory.
-use control_state::{Object, Shelf, Shelved, Shown, Whole};
+use control_state::{BoundedCache, BoundedCacheEntry, Object, TransferredCopy, Whole};
 use primitives::{Mono, Span};
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
     pub guest: bool,
 }
 
-impl Shelved for Copy {
+impl BoundedCacheEntry for Copy {
     fn until(&self) -> Mono {
         self.until
     }
@@ -41,10 +41,10 @@
 }
 
 impl Copy {
-    pub fn show(&self, now: Mono, until: Mono) -> Shown {
-        let (whole, aged) = ((*self.whole).clone(), now - self.since);
-        Shown { whole, left: until - now, aged, public: self.public }
+    pub fn show(&self, now: Mono, until: Mono) -> TransferredCopy {
+        let (whole, current_age) = ((*self.whole).clone(), now - self.since);
+        TransferredCopy { whole, left: until - now, current_age, public: self.public }
     }
 }
 
-pub(crate) type Copies = Shelf<Object, Copy>;
+pub(crate) type Copies = BoundedCache<Object, Copy>;
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -1,25 +1,25 @@
+use crate::admission::Admission;
 use crate::body_size::BodySizes;
 use crate::copies::Copies;
 use crate::forwarded_calls::ForwardedCalls;
 use crate::jobs::Job;
+use crate::local_controller::LocalControllerState;
 use crate::metrics::EdgeMetrics;
-use crate::neighbour::Neighbour;
 use crate::origins::Seen;
-use crate::outgoing::Outgoing;
+use crate::outcome_deliveries::OutcomeDelivery;
 pub use crate::policy::EdgePolicy;
-use crate::press::Press;
 use crate::purged_tags::PurgedTags;
 use crate::read::Wish;
 use crate::table::Table;
 use control_state::*;
-use primitives::{Addr, AnswerTime, Mono, Span};
+use primitives::{Addr, Mono, ResponseTimeEstimator, Span};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// What an edge is told about itself.
 #[derive(Clone, Debug)]
 pub struct EdgeEnv {
-    pub follow: FollowEnv,
+    pub follow: FollowerEnv,
     /// An origin unheard for this long is not used.
     pub fresh: Span,
     /// How long an origin may take over an answer.
@@ -33,7 +33,7 @@
     /// Lost disks of ledgers borne at once; the same at every edge and ledger.
     pub losses: usize,
     /// Copies are offered to ledgers and asked of them.
-    pub stock: bool,
+    pub disk_cache: bool,
     /// A granted round must leave within this; the same at every edge and ledger.
     pub leave: Span,
     /// The controller in the same process, if there is one: it is told who the members are.
@@ -43,14 +43,14 @@
 
 pub struct Edge {
     pub(crate) env: EdgeEnv,
-    pub(crate) follow: Follow,
+    pub(crate) follow: Follower,
     /// Built from what `follow` holds whenever that changes.
     pub(crate) table: Arc<Table>,
     /// The lease ran out at some time since the copies were last dropped.
     pub(crate) lapsed: bool,
-    pub(crate) had_touch: bool,
+    pub(crate) had_lease_quorum: bool,
     pub(crate) seen: Seen,
-    pub(crate) press: Press,
+    pub(crate) press: Admission,
     pub(crate) copies: Copies,
     pub(crate) jobs: BTreeMap<u64, Job>,
     /// The job that fills each object now.
@@ -60,18 +60,18 @@
     pub(crate) purge_digest: Option<u64>,
     /// Copies offered to ledgers, by the job that filled them.
     pub(crate) offers: BTreeMap<u64, Object>,
-    pub(crate) outgoing: Vec<Outgoing>,
+    pub(crate) outcome_deliveries: Vec<OutcomeDelivery>,
     /// Objects whose answers lately were not to be shared, and until when each
     /// caller is answered by the origin.
-    pub(crate) solo: BTreeMap<Object, Mono>,
+    pub(crate) unshared: BTreeMap<Object, Mono>,
     pub(crate) body_sizes: BodySizes,
     pub(crate) purged_tags: PurgedTags,
     /// How long homes take to answer, by their reach.
-    pub(crate) answer_times: BTreeMap<Reach, AnswerTime>,
+    pub(crate) answer_times: BTreeMap<Reach, ResponseTimeEstimator>,
     /// Edges that lately did not answer.
     pub(crate) mute: BTreeMap<Addr, Mono>,
     pub(crate) forwarded_calls: ForwardedCalls,
-    pub(crate) neighbour: Neighbour,
+    pub(crate) local_controller: LocalControllerState,
     /// When the copies were last looked through.
     swept: Mono,
     pub(crate) next: u64,
@@ -85,25 +85,25 @@
     pub fn new(env: EdgeEnv) -> Edge {
         Edge {
             table: Arc::new(Table::default()),
-            follow: Follow::new(env.follow.clone()),
+            follow: Follower::new(env.follow.clone()),
             lapsed: true,
-            had_touch: false,
+            had_lease_quorum: false,
             seen: Seen::default(),
-            press: Press::default(),
+            press: Admission::default(),
             copies: Copies::new(env.copies),
             jobs: BTreeMap::new(),
             fills: BTreeMap::new(),
             rounds: BTreeMap::new(),
             purge_digest: None,
             offers: BTreeMap::new(),
-            outgoing: vec![],
-            solo: BTreeMap::new(),
+            outcome_deliveries: vec![],
+            unshared: BTreeMap::new(),
             body_sizes: BodySizes::default(),
             purged_tags: PurgedTags::default(),
             answer_times: BTreeMap::new(),
             mute: BTreeMap::new(),
             forwarded_calls: ForwardedCalls::default(),
-            neighbour: Neighbour::default(),
+            local_controller: LocalControllerState::default(),
             swept: Mono(0),
             // Lives begin at different numbers, for some choices are spread by them.
             // Answers find their questions by the life as well, see `answers`.
@@ -144,7 +144,7 @@
 
     /// Holds all that is in force, serving on or not.
     pub fn in_touch(&self, now: Mono) -> bool {
-        self.follow.in_touch_until() > now
+        self.follow.lease_quorum_until() > now
     }
 
     pub(crate) fn leave(&mut self, now: Mono) {
@@ -170,28 +170,28 @@
             ("copies", self.copies.len() as u64),
             ("copies bytes", self.copies.bytes() as u64),
             ("items", self.follow.items.len() as u64),
-            ("outcomes on their way", self.outgoing.len() as u64),
+            ("outcomes on their way", self.outcome_deliveries.len() as u64),
             ("forwarded calls", self.forwarded_calls.open() as u64),
         ]);
-        let in_hand = (self.jobs.len() + self.outgoing.len()) as u64;
-        Health { ready: why.is_empty(), why, in_hand, taking: leaving && !drained, counts }
+        let in_hand = (self.jobs.len() + self.outcome_deliveries.len()) as u64;
+        Health { ready: why.is_empty(), why, in_hand, accepting_requests: leaving && !drained, counts }
     }
 
     fn tick(&mut self, now: Mono, out: &mut Vec<Out>) {
         self.subscribe(now, out);
-        self.tell_neighbour(now, out);
+        self.send_members_to_local_controller(now, out);
         self.check_lapse(now);
-        self.watch_touch(now, out);
-        self.serve_line(now, out);
+        self.report_lease_quorum(now, out);
+        self.start_queued_jobs(now, out);
         self.expire_jobs(now, out);
         self.push_outcomes(now, out);
-        self.mind_forwarded_calls(now, out);
+        self.advance_forwarded_calls(now, out);
         if now - self.swept >= Span::ms(500) {
             self.swept = now;
             self.copies.drop_old(now);
-            self.solo.retain(|_, t| *t > now);
-            self.leave_lines_for_homes(now, out);
-            self.say_still_at_it(now, out);
+            self.unshared.retain(|_, t| *t > now);
+            self.move_queued_fills_to_homes(now, out);
+            self.send_fill_progress(now, out);
             self.forget_purged_tags(now);
         }
         while self.offers.len() > 1000 {
@@ -208,37 +208,39 @@
                 Ask::Begin(r) => self.begin(now, t, r, out),
                 Ask::Done(n, f) => {
                     self.done(now, n, f, out);
-                    out.push(Out::Tell(t, Receipt::Took));
+                    out.push(Out::Tell(t, NodeReply::Acknowledged));
                 }
-                Ask::Probes => out.push(Out::Tell(t, Receipt::Probes(self.to_probe(now)))),
-                Ask::Probed(a, said, began) => {
+                Ask::Probes => out.push(Out::Tell(t, NodeReply::Probes(self.to_probe(now)))),
+                Ask::ProbeResult(a, said, began) => {
                     self.probed(a, said, began);
-                    out.push(Out::Tell(t, Receipt::Took));
+                    out.push(Out::Tell(t, NodeReply::Acknowledged));
                 }
-                Ask::Limits => out.push(Out::Tell(t, Receipt::Limits(self.table.limits.clone()))),
-                Ask::Ready => out.push(Out::Tell(t, Receipt::Health(self.health(now)))),
+                Ask::Limits => out.push(Out::Tell(t, NodeReply::Limits(self.table.limits.clone()))),
+                Ask::Ready => out.push(Out::Tell(t, NodeReply::Health(self.health(now)))),
                 Ask::Drain => {
                     self.leave(now);
                     out.push(Out::Note("draining"));
-                    out.push(Out::Tell(t, Receipt::Health(self.health(now))));
+                    out.push(Out::Tell(t, NodeReply::Health(self.health(now))));
                 }
                 Ask::Table => out.push(Out::Tell(t, self.own_table(now))),
                 Ask::Change(c) => self.forward_call(now, t, Call::Change(c), out),
-                Ask::Beat(b, _) => self.forward_call(now, t, Call::Beat(b), out),
+                Ask::OriginHeartbeat(b, _) => self.forward_call(now, t, Call::OriginHeartbeat(b), out),
                 Ask::SignOff(tag) => self.forward_call(now, t, Call::SignOff(tag), out),
                 Ask::Read => self.forward_call(now, t, Call::Read(self.follow.digest()), out),
-                _ => out.push(Out::Tell(t, Receipt::NotNow("not asked of an edge"))),
+                _ => out.push(Out::Tell(t, NodeReply::Unavailable("not asked of an edge"))),
             },
             In::Msg(from, m) => match m {
                 Msg::CallAnswered(n, said) => self.on_call_answered(now, from, n, *said, out),
                 Msg::Update(n) => self.on_update(now, from, *n, out),
-                Msg::CopyAsk { ask, object, heads, reach, held, patience } => {
+                Msg::CopyQuery { ask, object, heads, reach, held, patience } => {
                     let wish = Wish { heads, reach, held, patience };
                     self.on_copy_ask(now, (from, ask), object, wish, out)
                 }
-                Msg::CopyWait(ask) => self.on_copy_wait(now, from, ask),
-                Msg::CopyGot { ask, said, purges } => self.on_copy_got(now, (from, ask), said, purges, out),
-                Msg::StockWant { ask, at } => self.on_stock_want(now, from, ask, at, out),
+                Msg::CopyPending(ask) => self.on_copy_wait(now, from, ask),
+                Msg::CopyResult { ask, said, purges } => {
+                    self.on_copy_got(now, (from, ask), said, purges, out)
+                }
+                Msg::DiskCacheWant { ask, at } => self.on_stock_want(now, from, ask, at, out),
                 Msg::Claimed { round, said, .. } => self.on_claimed(now, from, round, said, out),
                 Msg::Kept { round, .. } => self.on_kept(now, from, round),
                 _ => self.count("stray"),
--- a/crates/edge/src/expiry.rs
+++ b/crates/edge/src/expiry.rs
@@ -11,20 +11,20 @@
         for id in ids {
             self.expire_callers(now, id, out);
             let Some(j) = self.jobs.get(&id) else { continue };
-            let waited = now - j.staged;
+            let waited = now - j.stage_since;
             match &j.stage {
                 Stage::Line | Stage::Home(..) | Stage::Claim(_) if now >= j.by => {
                     self.deny(now, id, Denied::Ceiling, out);
                 }
-                Stage::Home(inquiry) if waited > self.patience_with(inquiry) => {
-                    self.pass_over(now, id, out);
+                Stage::Home(copy_request) if waited > self.patience_with(copy_request) => {
+                    self.skip_silent_home(now, id, out);
                 }
                 Stage::Claim(_) if waited > HOME => self.count_votes(now, id, true, out),
                 Stage::Claim(_) => self.claim_again(now, id, out),
                 // The executor answers for its rounds; this is for one that died.
-                Stage::Out(r, _) if now > r.horizon + Span::secs(5) => {
+                Stage::Out(r, _) if now > r.answer_deadline + Span::secs(5) => {
                     let n = r.n;
-                    self.done(now, n, Fetched::Lost, out);
+                    self.done(now, n, FetchOutcome::Lost, out);
                 }
                 _ => (),
             }
@@ -34,7 +34,7 @@
     /// Tells those who cannot wait as long as others for the same fill.
     fn expire_callers(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         let until = |j: &Job, c: &Waiting| match j.stage {
-            Stage::Line => j.in_line_until(c),
+            Stage::Line => j.queue_deadline(c),
             Stage::Home(_) | Stage::Claim(_) => c.by,
             Stage::Out(..) => Mono(u64::MAX),
         };
--- a/crates/edge/src/still_at_it.rs
+++ b/crates/edge/src/fill_progress.rs
@@ -10,11 +10,11 @@
 
 impl Edge {
     /// Tells edges that wait for a fill that it is being worked on.
-    pub(crate) fn say_still_at_it(&self, now: Mono, out: &mut Vec<Out>) {
+    pub(crate) fn send_fill_progress(&self, now: Mono, out: &mut Vec<Out>) {
         let long = |w: &&Waiting| now - w.since >= SAY_AGAIN;
         let waiting = self.jobs.values().flat_map(|j| &j.callers).filter(long);
         out.extend(waiting.filter_map(|w| match w.caller {
-            Caller::Edge(asker, ask) => Some(Out::Send(asker, Msg::CopyWait(ask))),
+            Caller::Edge(asker, ask) => Some(Out::Send(asker, Msg::CopyPending(ask))),
             Caller::Local(..) => None,
         }));
     }
--- a/crates/edge/src/forwarded_calls.rs
+++ b/crates/edge/src/forwarded_calls.rs
@@ -50,7 +50,7 @@
         let what = match &self.call {
             Call::Read(_) => "reading",
             Call::Change(_) => "change",
-            Call::Beat(_) | Call::SignOff(_) => return None,
+            Call::OriginHeartbeat(_) | Call::SignOff(_) => return None,
         };
         let took = now - self.began;
         let attempts = self.attempts.clone();
@@ -86,7 +86,7 @@
 
 fn patience(c: &Call) -> Span {
     match c {
-        Call::Beat(_) | Call::SignOff(_) => Span::ms(900),
+        Call::OriginHeartbeat(_) | Call::SignOff(_) => Span::ms(900),
         Call::Read(_) => Span::secs(2),
         Call::Change(_) => Span::secs(4),
     }
@@ -138,7 +138,7 @@
     }
 
     /// The state and the origins' heartbeats as this edge has them.
-    pub(crate) fn own_table(&self, now: Mono) -> Receipt {
+    pub(crate) fn own_table(&self, now: Mono) -> NodeReply {
         let state = ControlState {
             era: self.follow.era,
             members: self.follow.members.clone(),
@@ -146,21 +146,21 @@
             ..ControlState::default()
         };
         let beats = self.seen.beats.values().map(|(b, t)| (b.clone(), now - *t)).collect();
-        Receipt::Table(Box::new(state), beats)
+        NodeReply::Table(Box::new(state), beats)
     }
 
     pub(crate) fn on_call_answered(
         &mut self,
         now: Mono,
         from: Addr,
-        ask: AskId,
+        ask: RequestId,
         said: CallAnswer,
         out: &mut Vec<Out>,
     ) {
         let Some(n) = self.own_number(ask) else { return };
         self.forwarded_calls.heard.insert(from, now);
         let Some(e) = self.forwarded_calls.open.get_mut(&n) else { return };
-        if let CallAnswer::NotNow(why) = &said {
+        if let CallAnswer::Unavailable(why) = &said {
             e.note_answer(now, from, Attempt::Declined(why.clone()));
             e.why = "no controller in reach can answer now";
             // Everybody was asked once: the next round waits for its turn.
@@ -178,11 +178,13 @@
         out.extend(e.waits.into_iter().map(|(t, _)| Out::Tell(t, r.clone())));
     }
 
-    pub(crate) fn mind_forwarded_calls(&mut self, now: Mono, out: &mut Vec<Out>) {
+    pub(crate) fn advance_forwarded_calls(&mut self, now: Mono, out: &mut Vec<Out>) {
         for e in self.forwarded_calls.open.values_mut() {
             let (most, why) = (patience(&e.call), e.why);
             let late = |(_, began): &(Token, Mono)| now - *began >= most;
-            out.extend(e.waits.iter().filter(|w| late(w)).map(|(t, _)| Out::Tell(*t, Receipt::NotNow(why))));
+            out.extend(
+                e.waits.iter().filter(|w| late(w)).map(|(t, _)| Out::Tell(*t, NodeReply::Unavailable(why))),
+            );
             if e.waits.iter().any(late) {
                 out.extend(e.report(now, false));
             }
--- a/crates/edge/src/job.rs
+++ b/crates/edge/src/job.rs
@@ -1,6 +1,6 @@
 //! A request in hand: what it asks for, who waits for it, and how far it is.
 use crate::claim::Claim;
-use crate::sources::Inquiry;
+use crate::sources::CopyRequest;
 use control_state::*;
 use primitives::{Addr, Birth, Mono, Token};
 use std::collections::BTreeMap;
@@ -9,9 +9,9 @@
 /// Who waits for a job's end.
 #[derive(Clone, Debug)]
 pub(crate) enum Caller {
-    Local(Token, Arc<Req>),
+    Local(Token, Arc<CallerRequest>),
     /// Another edge, and its name for the question.
-    Edge(Addr, AskId),
+    Edge(Addr, RequestId),
 }
 
 /// A caller, since when it waits, and until when: in line, and in all.
@@ -19,14 +19,14 @@
 pub(crate) struct Waiting {
     pub caller: Caller,
     pub since: Mono,
-    pub in_line_until: Mono,
+    pub queue_deadline: Mono,
     pub by: Mono,
 }
 
 #[derive(Debug)]
 pub(crate) enum Stage {
     /// Waits for somebody who may have a copy.
-    Home(Inquiry),
+    Home(CopyRequest),
     /// Waits for the ledgers' words.
     Claim(BTreeMap<Addr, Claimed>),
     /// Waits in line for leave to press the service.
@@ -37,7 +37,7 @@
 
 #[derive(Debug)]
 pub(crate) struct Job {
-    pub req: Req,
+    pub req: CallerRequest,
     pub svc: Svc,
     /// As it was when the request came, whatever becomes of the lane.
     pub site: Site,
@@ -46,7 +46,7 @@
     pub kind: Kind,
     pub callers: Vec<Waiting>,
     pub stage: Stage,
-    pub staged: Mono,
+    pub stage_since: Mono,
     /// Rounds of which bytes may have reached an origin.
     pub tries: u32,
     /// Rounds that found no way out.
@@ -55,17 +55,17 @@
     /// A purge (or a lapse) came in between: what was fetched before is not used.
     pub spoiled: bool,
     /// Readable, but for its one caller alone: no copy is used or joined.
-    pub solo: bool,
+    pub unshared: bool,
     /// The whole is asked for, whatever copy there was.
     pub plain: bool,
     /// It is filled for others, as the home of that reach.
-    pub acts_for: Option<Reach>,
+    pub home_reach: Option<Reach>,
     /// Whoever was asked for a copy and has kept silent so far.
-    pub overdue: Vec<Inquiry>,
+    pub overdue: Vec<CopyRequest>,
     /// Keyed only: what was claimed of which ledgers.
     pub claim: Option<Claim>,
     /// Keyed only. Invariant: nothing leaves after this, however long we froze.
-    pub must_leave: Mono,
+    pub send_deadline: Mono,
     /// Served in time until then.
     pub due: Mono,
     /// Given up after this: the latest of its callers'.
@@ -92,12 +92,12 @@
         match self.kind {
             Kind::Read => true,
             // What the configuration calls repeatable is, whatever its method.
-            Kind::Plain => self.req.host.is_some() || harmless(&self.req.method),
+            Kind::Plain => self.req.host.is_some() || is_safe_method(&self.req.method),
             Kind::Once | Kind::Keyed => false,
         }
     }
 }
 
-pub(crate) fn harmless(method: &str) -> bool {
+pub(crate) fn is_safe_method(method: &str) -> bool {
     method == "GET" || method == "HEAD"
 }
--- a/crates/edge/src/jobs.rs
+++ b/crates/edge/src/jobs.rs
@@ -1,7 +1,7 @@
 //! Requests in hand, from the first look to the last word.
 use crate::edge::Edge;
 pub(crate) use crate::job::*;
-use crate::read::WAY_OUT;
+use crate::read::DELIVERY_MARGIN;
 use control_state::*;
 use primitives::{Mono, Span, Token};
 use std::sync::Arc;
@@ -13,15 +13,15 @@
 pub(crate) const HOME: Span = Span::ms(400);
 
 impl Edge {
-    pub(crate) fn begin(&mut self, now: Mono, t: Token, req: Req, out: &mut Vec<Out>) {
+    pub(crate) fn begin(&mut self, now: Mono, t: Token, req: CallerRequest, out: &mut Vec<Out>) {
         self.count("requests");
         self.enter(now, t, Arc::new(req), out);
     }
 
-    pub(crate) fn enter(&mut self, now: Mono, t: Token, req: Arc<Req>, out: &mut Vec<Out>) {
+    pub(crate) fn enter(&mut self, now: Mono, t: Token, req: Arc<CallerRequest>, out: &mut Vec<Out>) {
         let caller = Caller::Local(t, req.clone());
         match self.admit(now, (*req).clone()) {
-            Err(d) => self.tell(now, &caller, Step::Deny(d, self.come_back(d)), out),
+            Err(d) => self.tell(now, &caller, Step::Deny(d, self.retry_after(d)), out),
             Ok(mut j) => {
                 j.callers.push(Waiting::new(caller, now, j.by));
                 match j.kind {
@@ -36,17 +36,17 @@
     }
 
     /// A job for the request, or why it is denied.
-    pub(crate) fn admit(&mut self, now: Mono, req: Req) -> Result<Job, Denied> {
+    pub(crate) fn admit(&mut self, now: Mono, req: CallerRequest) -> Result<Job, Denied> {
         let yes = |ok: bool, d: Denied| ok.then_some(()).ok_or(d);
         yes(!self.drained(now), Denied::Leaving)?;
         yes(self.leased(now), Denied::NoLease)?;
         yes(self.jobs.len() < self.env.hands.1, Denied::TooMany)?;
         let found = |h: &String| self.table.paths.find(h, &req.path).cloned();
         let lane = req.host.as_ref().map_or(Some(req.lane.clone()), found).ok_or(Denied::NoLane)?;
-        let req = Req { lane, ..req };
+        let req = CallerRequest { lane, ..req };
         let kind = self.table.kind(&req.lane).ok_or(Denied::NoLane)?;
         let entry = self.table.entries.get(&req.lane).cloned();
-        yes(kind != Kind::Read || harmless(&req.method), Denied::BadMethod)?;
+        yes(kind != Kind::Read || is_safe_method(&req.method), Denied::BadMethod)?;
         yes(kind != Kind::Keyed || KEYED.contains(&req.method.as_str()), Denied::BadMethod)?;
         yes(kind != Kind::Keyed || req.key.is_some(), Denied::NoKey)?;
         // One object, and one key, always meets the same service.
@@ -69,17 +69,17 @@
             kind,
             callers: vec![],
             stage: Stage::Line,
-            staged: now,
+            stage_since: now,
             tries: 0,
             unsent: 0,
             tried: vec![],
             spoiled: false,
-            solo: false,
+            unshared: false,
             plain: false,
-            acts_for: None,
+            home_reach: None,
             overdue: vec![],
             claim: None,
-            must_leave: Mono(u64::MAX),
+            send_deadline: Mono(u64::MAX),
             due: now + entry.as_ref().map_or(AIM, |e| e.aim),
             by,
             attempts: entry.map_or(3, |e| e.attempts),
@@ -91,31 +91,38 @@
         match (c, s) {
             (Caller::Local(t, _), s) => {
                 let name = match &s {
-                    Step::Serve(_, Shared::Copy(_), _) => "served from copies",
-                    Step::Serve(_, Shared::Own, _) => "not to be passed on",
-                    Step::Serve(_, Shared::Record, _) => "served from records",
+                    Step::Serve(_, AnswerSource::Copy(_), _) => "served from copies",
+                    Step::Serve(_, AnswerSource::Own, _) => "not to be passed on",
+                    Step::Serve(_, AnswerSource::Record, _) => "served from records",
                     Step::Serve(..) => "served from origins",
                     Step::Deny(..) => "denied",
-                    Step::Doubt(_) => "in doubt",
+                    Step::OutcomeUnknown(_) => "in doubt",
                 };
                 self.count(name);
                 if let Step::Deny(reason, _) = &s {
                     self.metrics.note_denial(*reason);
                 }
-                out.push(Out::Tell(*t, Receipt::Step(s)));
+                out.push(Out::Tell(*t, NodeReply::Step(s)));
             }
             (Caller::Edge(a, ask), s) => {
-                let shown = |w: &Arc<Whole>, until, aged| {
+                let shown = |w: &Arc<Whole>, until, current_age| {
                     let whole = w.kept();
-                    CopySaid::Got(Box::new(Shown { whole, left: until - now, aged, public: false }))
+                    CopyReply::Got(Box::new(TransferredCopy {
+                        whole,
+                        left: until - now,
+                        current_age,
+                        public: false,
+                    }))
                 };
                 let said = match s {
-                    Step::Serve(w, Shared::Own, _) => CopySaid::Own(Box::new(w.kept())),
+                    Step::Serve(w, AnswerSource::Own, _) => CopyReply::Own(Box::new(w.kept())),
                     // The time that an answer may be on its way out is no part of a copy's life.
-                    Step::Serve(w, Shared::Copy(aged), until) => shown(&w, until - WAY_OUT, aged),
+                    Step::Serve(w, AnswerSource::Copy(current_age), until) => {
+                        shown(&w, until - DELIVERY_MARGIN, current_age)
+                    }
                     Step::Serve(w, _, until) => shown(&w, until, Span(0)),
-                    Step::Deny(Denied::Ceiling, _) => CopySaid::AtCeiling,
-                    _ => CopySaid::None,
+                    Step::Deny(Denied::Ceiling, _) => CopyReply::AtCeiling,
+                    _ => CopyReply::None,
                 };
                 out.push(self.copy_got(*a, *ask, said));
             }
@@ -125,7 +132,7 @@
     /// The job's last word, to all who wait for it.
     pub(crate) fn finish(&mut self, now: Mono, id: u64, s: Step, out: &mut Vec<Out>) {
         if let Some(j) = self.jobs.remove(&id) {
-            self.metrics.note_wait(&j.stage, now - j.staged);
+            self.metrics.note_wait(&j.stage, now - j.stage_since);
             if self.fills.get(&j.object()) == Some(&id) {
                 self.fills.remove(&j.object());
             }
@@ -145,9 +152,9 @@
     pub(crate) fn denial(&self, id: u64, d: Denied) -> Step {
         let sent = self.jobs.get(&id).is_some_and(|j| j.tries > 0);
         if sent {
-            Step::Doubt(self.come_back(d))
+            Step::OutcomeUnknown(self.retry_after(d))
         } else {
-            Step::Deny(d, self.come_back(d))
+            Step::Deny(d, self.retry_after(d))
         }
     }
 }
--- a/crates/edge/src/keyed.rs
+++ b/crates/edge/src/keyed.rs
@@ -4,7 +4,7 @@
 use crate::claim::Claim;
 use crate::edge::Edge;
 use crate::jobs::*;
-use crate::outgoing::{Outgoing, RanKey};
+use crate::outcome_deliveries::{KeyedRound, OutcomeDelivery};
 use control_state::*;
 use primitives::{Addr, Backoff, Birth, Mono, Span};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,14 +18,14 @@
     /// force a window after every lease that knew no newer one, and claims of before
     /// must have lost theirs by then.
     pub(crate) fn claim(&mut self, now: Mono, mut j: Job, out: &mut Vec<Out>) {
-        if self.follow.in_touch_until() + CLAIMS_ON <= now {
+        if self.follow.lease_quorum_until() + CLAIMS_ON <= now {
             let c = j.callers.remove(0).caller;
-            let back = self.come_back(Denied::NoLease);
+            let back = self.retry_after(Denied::NoLease);
             return self.tell(now, &c, Step::Deny(Denied::NoLease, back), out);
         }
         // Lanes of a host come, go and are renamed while their callers' keys stay the same.
         let key = format!("{}/{}", j.site.0, j.req.key.as_deref().unwrap_or(""));
-        let print = Print::of(&j.req.method, &j.req.path, &j.req.heads, &j.req.body);
+        let print = Fingerprint::of(&j.req.method, &j.req.path, &j.req.heads, &j.req.body);
         let n = self.number();
         let round = RoundId { node: self.follow.env.id, birth: self.follow.env.birth, n };
         let named = self.table.roll.named(&key, self.env.losses);
@@ -34,9 +34,9 @@
         let c = Claim { round, key, print, named, roll, granted: BTreeSet::new(), ask_again };
         out.extend(c.ledgers().into_iter().map(|a| c.ask(a)));
         j.claim = Some(c);
-        j.must_leave = now + self.env.leave;
+        j.send_deadline = now + self.env.leave;
         j.stage = Stage::Claim(BTreeMap::new());
-        j.staged = now;
+        j.stage_since = now;
         self.jobs.insert(n, j);
         self.count("claims");
         self.count_votes(now, n, false, out);
@@ -82,18 +82,19 @@
             Claimed::Held(Some(w)) => Some(w.clone()),
             _ => None,
         });
-        let reused = votes.values().any(|v| *v == Claimed::OtherBody);
+        let reused = votes.values().any(|v| *v == Claimed::PayloadMismatch);
         let held = votes.values().any(|v| matches!(v, Claimed::Held(None)));
         let all = votes.len() >= claim.ledgers().len();
         if reused {
             self.deny(now, id, Denied::KeyReused, out);
         } else if let Some(w) = known {
             self.release_job(id, out);
-            let s = Step::Serve(std::sync::Arc::new(w.without_holders()), Shared::Record, Mono(u64::MAX));
+            let s =
+                Step::Serve(std::sync::Arc::new(w.without_holders()), AnswerSource::Record, Mono(u64::MAX));
             self.finish(now, id, s, out);
         } else if claim.won(votes, self.env.losses) {
             self.note_granted(id);
-            self.line_up(now, id, out);
+            self.enqueue_job(now, id, out);
         } else if held && (all || late) {
             // Another round has the key and its outcome is not known (yet).
             self.release_job(id, out);
@@ -101,7 +102,7 @@
             if at_work {
                 return self.deny(now, id, Denied::KeyAtWork, out);
             }
-            self.finish(now, id, Step::Doubt(Span::secs(1)), out);
+            self.finish(now, id, Step::OutcomeUnknown(Span::secs(1)), out);
         } else if all || late {
             self.deny(now, id, Denied::SplitVote, out);
         }
@@ -134,17 +135,17 @@
     pub(crate) fn ran(&mut self, now: Mono, id: u64, w: Whole, s: Step, out: &mut Vec<Out>) {
         let claim = self.jobs.get(&id).and_then(|j| j.claim.clone());
         if let Some(c) = claim {
-            let ledgers = self.recorders(&c);
+            let ledgers = self.outcome_holders(&c);
             let Claim { round, key, print, .. } = c;
-            let of = RanKey { key, print, round };
-            let outgoing = if self.env.policy.near {
+            let of = KeyedRound { key, print, round };
+            let outcome_deliveries = if self.env.policy.near {
                 // On one disk more than may be lost at once.
-                Outgoing::new(now, of, w, ledgers, self.env.losses + 1)
+                OutcomeDelivery::new(now, of, w, ledgers, self.env.losses + 1)
             } else {
-                Outgoing::to_all(now, of, w, ledgers)
+                OutcomeDelivery::to_all(now, of, w, ledgers)
             };
-            outgoing.send(out);
-            self.outgoing.push(outgoing);
+            outcome_deliveries.send(out);
+            self.outcome_deliveries.push(outcome_deliveries);
         }
         self.finish(now, id, s, out);
     }
@@ -158,7 +159,7 @@
 
     /// Who may keep the outcome, the first choices last: the key's ledgers, those that granted it
     /// before others, of them those of the newest set, and of them the nearest.
-    fn recorders(&self, c: &Claim) -> Vec<Holder> {
+    fn outcome_holders(&self, c: &Claim) -> Vec<Holder> {
         let newest = self.table.roll.named(&c.key, self.env.losses).pop().unwrap_or_default();
         let here = &self.follow.env.zone;
         let known = |a: &Addr| self.table.ledgers.iter().find(|l| l.addr == *a);
@@ -173,15 +174,15 @@
     }
 
     pub(crate) fn push_outcomes(&mut self, now: Mono, out: &mut Vec<Out>) {
-        self.outgoing.iter_mut().for_each(|o| o.push(now, out));
-        self.outgoing.retain(|o| !o.is_over(now));
+        self.outcome_deliveries.iter_mut().for_each(|o| o.push(now, out));
+        self.outcome_deliveries.retain(|o| !o.is_over(now));
     }
 
     pub(crate) fn on_kept(&mut self, now: Mono, from: Addr, round: RoundId) {
         if self.own_round(round).is_none() {
             return;
         }
-        self.outgoing.iter_mut().filter(|o| o.of.round == round).for_each(|o| o.note_kept(from));
-        self.outgoing.retain(|o| !o.is_over(now));
+        self.outcome_deliveries.iter_mut().filter(|o| o.of.round == round).for_each(|o| o.note_kept(from));
+        self.outcome_deliveries.retain(|o| !o.is_over(now));
     }
 }
--- a/crates/edge/src/choice.rs
+++ b/crates/edge/src/load_balancing.rs
@@ -43,7 +43,13 @@
 
     /// Usable origins, the most promising first: of two drawn by the request the
     /// better one, so that edges that see alike do not all press the same.
-    pub(crate) fn by_load(&self, now: Mono, svc: &Svc, draw: u64, shared: bool) -> Vec<(Addr, Origin, Mono)> {
+    pub(crate) fn load_balanced(
+        &self,
+        now: Mono,
+        svc: &Svc,
+        draw: u64,
+        shared: bool,
+    ) -> Vec<(Addr, Origin, Mono)> {
         let out = self.out_now();
         let all = self.table.origins.get(svc).cloned().unwrap_or_default();
         let mut v: Vec<(u8, f64, (Addr, Origin, Mono))> = all
@@ -53,9 +59,10 @@
                 let until = self.fresh_until(&a, &o);
                 let stale = until <= now;
                 let silent = self.seen.is_unreached(now, &a, o.birth);
-                let bad = self.seen.is_bad(now, &a, o.birth);
+                let bad = self.seen.is_failing(now, &a, o.birth);
                 let demerit = silent as u8 * 4 + bad as u8 * 2 + stale as u8;
-                let until = if stale && self.follow.env.serve_on { now + Span::secs(1) } else { until };
+                let until =
+                    if stale && self.follow.env.serve_without_lease { now + Span::secs(1) } else { until };
                 let noise = 0.75 + (primitives::hash(&(draw, a)) % 1000) as f64 / 2000.0;
                 (demerit, self.outlook(&a, &o, n, shared) * noise, (a, o, until))
             })
--- a/crates/edge/src/neighbour.rs
+++ b/crates/edge/src/local_controller.rs
@@ -12,19 +12,19 @@
 
 /// What the neighbouring controller was told last.
 #[derive(Debug, Default)]
-pub(crate) struct Neighbour {
+pub(crate) struct LocalControllerState {
     era: Era,
     told: Mono,
 }
 
 impl Edge {
-    pub(crate) fn tell_neighbour(&mut self, now: Mono, out: &mut Vec<Out>) {
+    pub(crate) fn send_members_to_local_controller(&mut self, now: Mono, out: &mut Vec<Out>) {
         let Some(controller) = self.env.controller else { return };
         let era = self.follow.era;
-        let news = era != self.neighbour.era || now - self.neighbour.told >= TELL_AGAIN;
+        let news = era != self.local_controller.era || now - self.local_controller.told >= TELL_AGAIN;
         if news && !self.follow.members.is_empty() {
-            self.neighbour = Neighbour { era, told: now };
-            out.push(Out::Send(controller, Msg::Roster(era, self.follow.members.clone())));
+            self.local_controller = LocalControllerState { era, told: now };
+            out.push(Out::Send(controller, Msg::Membership(era, self.follow.members.clone())));
         }
     }
 }
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -2,7 +2,7 @@
 use crate::jobs::Stage;
 use crate::sources::Source;
 use control_state::{Denied, Reach};
-use primitives::metrics::{wait_family, WaitFamily};
+use primitives::metrics::{wait_histograms, WaitHistograms};
 use primitives::Span;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -55,20 +55,20 @@
 /// An edge's figures; clones count together.
 #[derive(Clone, Debug)]
 pub struct EdgeMetrics {
-    waits: WaitFamily<WaitLabels>,
+    waits: WaitHistograms<WaitLabels>,
     denials: Family<DenialLabels, Counter>,
     tokens: Family<TokenLabels, Counter>,
 }
 
 impl Default for EdgeMetrics {
     fn default() -> EdgeMetrics {
-        EdgeMetrics { waits: wait_family(), denials: Family::default(), tokens: Family::default() }
+        EdgeMetrics { waits: wait_histograms(), denials: Family::default(), tokens: Family::default() }
     }
 }
 
 fn stage_name(stage: &Stage) -> &'static str {
     match stage {
-        Stage::Home(inquiry) => match inquiry.source {
+        Stage::Home(copy_request) => match copy_request.source {
             Source::Home(Reach::Zone) => "zone_home",
             Source::Home(Reach::Region) => "region_home",
             Source::Home(Reach::Deployment) => "deployment_home",
--- a/crates/edge/src/origins.rs
+++ b/crates/edge/src/origins.rs
@@ -8,7 +8,7 @@
 pub(crate) struct Seen {
     /// When each beat was heard, at the latest, by this edge's clock: counted
     /// back from when it asked, so that a message read late is not fresh.
-    pub beats: BTreeMap<Addr, (Beat, Mono)>,
+    pub beats: BTreeMap<Addr, (OriginHeartbeat, Mono)>,
     probes: BTreeMap<Addr, (Svc, Birth, Mono)>,
     /// Lives that just failed a round, and until when they are passed over.
     bad: BTreeMap<(Addr, Birth), Mono>,
@@ -27,7 +27,7 @@
         let heard = self.beats.get(a).filter(|(x, _)| x.birth == b).map(|(_, t)| *t).unwrap_or_default();
         self.unreached.get(&(*a, b)).is_some_and(|t| heard <= *t && now - *t < UNREACHED)
     }
-    pub(crate) fn is_bad(&self, now: Mono, a: &Addr, b: Birth) -> bool {
+    pub(crate) fn is_failing(&self, now: Mono, a: &Addr, b: Birth) -> bool {
         self.bad.get(&(*a, b)).is_some_and(|t| *t > now)
     }
 }
@@ -102,7 +102,7 @@
         v.into_iter().map(|(_, c)| c).collect()
     }
 
-    pub(crate) fn note_pace(&mut self, a: Addr, b: Birth, took: Span) {
+    pub(crate) fn note_latency(&mut self, a: Addr, b: Birth, took: Span) {
         let was = self.seen.pace.entry((a, b)).or_insert(took);
         *was = Span((was.0 * 3 + took.0) / 4);
         self.seen.bad.remove(&(a, b));
@@ -113,7 +113,7 @@
         self.seen.unreached.insert((a, b), now);
     }
 
-    pub(crate) fn note_bad(&mut self, now: Mono, a: Addr, b: Birth) {
+    pub(crate) fn note_failure(&mut self, now: Mono, a: Addr, b: Birth) {
         self.seen.bad.retain(|_, t| *t > now);
         self.seen.bad.insert((a, b), now + PASS_OVER);
     }
--- a/crates/edge/src/outgoing.rs
+++ b/crates/edge/src/outcome_deliveries.rs
@@ -12,16 +12,16 @@
 
 /// What an outcome is of.
 #[derive(Clone, Debug)]
-pub(crate) struct RanKey {
+pub(crate) struct KeyedRound {
     pub key: String,
-    pub print: Print,
+    pub print: Fingerprint,
     pub round: RoundId,
 }
 
 /// An outcome, the ledgers that are to hold it, and those that have not said that they do.
 #[derive(Debug)]
-pub(crate) struct Outgoing {
-    pub of: RanKey,
+pub(crate) struct OutcomeDelivery {
+    pub of: KeyedRound,
     whole: Whole,
     chosen: Vec<Holder>,
     silent: BTreeSet<Addr>,
@@ -32,20 +32,26 @@
     send_again: Backoff,
 }
 
-impl Outgoing {
+impl OutcomeDelivery {
     /// To so many of the ledgers, the best of which come last.
-    pub(crate) fn new(now: Mono, of: RanKey, whole: Whole, ledgers: Vec<Holder>, copies: usize) -> Outgoing {
+    pub(crate) fn new(
+        now: Mono,
+        of: KeyedRound,
+        whole: Whole,
+        ledgers: Vec<Holder>,
+        copies: usize,
+    ) -> OutcomeDelivery {
         let mut others = ledgers;
         let chosen = others.split_off(others.len().saturating_sub(copies));
         let silent = chosen.iter().map(|h| h.addr).collect();
         let send_again = Backoff::new(now, SEND_AGAIN.0, SEND_AGAIN.1);
-        Outgoing { of, whole, chosen, silent, others, began: now, chosen_at: now, send_again }
+        OutcomeDelivery { of, whole, chosen, silent, others, began: now, chosen_at: now, send_again }
     }
 
     /// To all of them alike, which need not know of one another.
-    pub(crate) fn to_all(now: Mono, of: RanKey, whole: Whole, ledgers: Vec<Holder>) -> Outgoing {
+    pub(crate) fn to_all(now: Mono, of: KeyedRound, whole: Whole, ledgers: Vec<Holder>) -> OutcomeDelivery {
         let copies = ledgers.len();
-        Outgoing { chosen: vec![], ..Outgoing::new(now, of, whole, ledgers, copies) }
+        OutcomeDelivery { chosen: vec![], ..OutcomeDelivery::new(now, of, whole, ledgers, copies) }
     }
 
     /// What is to be sent now, if anything.
@@ -57,8 +63,8 @@
 
     pub(crate) fn send(&self, out: &mut Vec<Out>) {
         let whole =
-            if self.chosen.is_empty() { self.whole.clone() } else { self.whole.held_by(&self.chosen) };
-        let RanKey { key, print, round } = &self.of;
+            if self.chosen.is_empty() { self.whole.clone() } else { self.whole.with_holders(&self.chosen) };
+        let KeyedRound { key, print, round } = &self.of;
         let outcome =
             || Msg::Outcome { key: key.clone(), print: *print, round: *round, whole: whole.clone() };
         out.extend(self.silent.iter().map(|to| Out::Send(*to, outcome())));
--- a/crates/edge/src/purge.rs
+++ b/crates/edge/src/purge.rs
@@ -47,14 +47,14 @@
             let j = self.jobs.get_mut(&id).expect("listed above");
             j.spoiled = j.kind == Kind::Read;
             if j.spoiled && matches!(j.stage, Stage::Home(..)) {
-                self.ask_anew(now, id, out);
+                self.restart_copy_request(now, id, out);
             }
         }
     }
 
     /// Forgets tags that were purged before anything under way was asked for.
     pub(crate) fn forget_purged_tags(&mut self, now: Mono) {
-        let asked = |j: &Job| j.overdue.iter().map(|i| i.asked).fold(j.staged, Mono::min);
+        let asked = |j: &Job| j.overdue.iter().map(|i| i.asked).fold(j.stage_since, Mono::min);
         let oldest = self.jobs.values().map(asked).fold(now, Mono::min);
         self.purged_tags.forget_before(oldest);
     }
--- a/crates/edge/src/purged_tags.rs
+++ b/crates/edge/src/purged_tags.rs
@@ -1,6 +1,6 @@
 //! Tags that were purged lately. An answer shows its tags only when it comes: then it is known
 //! whether a purge took it on its way.
-use control_state::Heads;
+use control_state::Headers;
 use primitives::Mono;
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 const TAGS: &str = "lanewing-tags";
 
 /// The tags of an answer with these fields.
-pub(crate) fn tags(heads: &Heads) -> impl Iterator<Item = &str> {
+pub(crate) fn tags(heads: &Headers) -> impl Iterator<Item = &str> {
     heads.get(TAGS).unwrap_or_default().split_ascii_whitespace()
 }
 
@@ -25,7 +25,7 @@
     }
 
     /// Whether what was asked for then may be older than a purge of one of its tags.
-    pub(crate) fn took(&self, heads: &Heads, asked: Mono) -> bool {
+    pub(crate) fn took(&self, heads: &Headers, asked: Mono) -> bool {
         tags(heads).any(|tag| self.last.get(tag).is_some_and(|purged| *purged >= asked))
     }
 
--- a/crates/edge/src/line.rs
+++ b/crates/edge/src/queue.rs
@@ -28,54 +28,54 @@
     }
 
     fn place(&self, now: Mono) -> Place {
-        Place { rank: self.row.rank, late: now >= self.due, since: self.staged }
+        Place { rank: self.row.rank, late: now >= self.due, since: self.stage_since }
     }
 
     /// Until when a caller of it waits in line. What was sent once may wait again.
-    pub(crate) fn in_line_until(&self, caller: &Waiting) -> Mono {
+    pub(crate) fn queue_deadline(&self, caller: &Waiting) -> Mono {
         if self.tries == 0 {
-            caller.in_line_until
+            caller.queue_deadline
         } else {
-            patience_ends(self.staged, caller.by)
+            queue_deadline_for(self.stage_since, caller.by)
         }
     }
 
     /// The same of its most patient caller.
-    fn leaves_line(&self) -> Mono {
-        self.callers.iter().map(|c| self.in_line_until(c)).fold(self.staged, Mono::max)
+    fn latest_queue_deadline(&self) -> Mono {
+        self.callers.iter().map(|c| self.queue_deadline(c)).fold(self.stage_since, Mono::max)
     }
 
     /// How long its callers wait yet.
     pub(crate) fn patience(&self, now: Mono) -> Patience {
-        Patience { in_line: self.leaves_line() - now, left: self.by - now }
+        Patience { in_line: self.latest_queue_deadline() - now, left: self.by - now }
     }
 }
 
-fn patience_ends(since: Mono, by: Mono) -> Mono {
+fn queue_deadline_for(since: Mono, by: Mono) -> Mono {
     since + Span((by - since).0 * PATIENCE / 100)
 }
 
 impl Waiting {
     /// Of this edge's own.
     pub(crate) fn new(caller: Caller, since: Mono, by: Mono) -> Waiting {
-        Waiting { caller, since, in_line_until: patience_ends(since, by), by }
+        Waiting { caller, since, queue_deadline: queue_deadline_for(since, by), by }
     }
 
     /// Of another edge's, as it said.
     pub(crate) fn of_edge(caller: Caller, since: Mono, patience: Patience) -> Waiting {
-        Waiting { caller, since, in_line_until: since + patience.in_line, by: since + patience.left }
+        Waiting { caller, since, queue_deadline: since + patience.in_line, by: since + patience.left }
     }
 }
 
 impl Edge {
     /// Into the line for the service; out of it at once if there is leave.
-    pub(crate) fn line_up(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
+    pub(crate) fn enqueue_job(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         self.stage(now, id, Stage::Line);
         let Some(j) = self.jobs.get(&id) else { return };
         let (svc, place, first) = (j.svc.clone(), j.place(now), j.tries == 0 && j.unsent == 0);
-        let patience = j.leaves_line() - now;
+        let patience = j.latest_queue_deadline() - now;
         if first {
-            self.first_try(now, &svc);
+            self.note_first_attempt(now, &svc);
         }
         let ahead = |o: &Job| o.in_line() && o.svc == svc && o.place(now) <= place;
         let before = self.jobs.iter().filter(|(i, o)| **i != id && ahead(o)).count();
@@ -88,12 +88,12 @@
     }
 
     /// Whether anybody here has had to wait for leave to ask that service.
-    pub(crate) fn has_line(&self, now: Mono, svc: &Svc) -> bool {
-        self.jobs.values().any(|j| j.in_line() && j.svc == *svc && j.staged < now)
+    pub(crate) fn has_queued_jobs(&self, now: Mono, svc: &Svc) -> bool {
+        self.jobs.values().any(|j| j.in_line() && j.svc == *svc && j.stage_since < now)
     }
 
     /// Lets the lines move, each until somebody in it has to wait.
-    pub(crate) fn serve_line(&mut self, now: Mono, out: &mut Vec<Out>) {
+    pub(crate) fn start_queued_jobs(&mut self, now: Mono, out: &mut Vec<Out>) {
         for line in self.lines(now) {
             for id in line {
                 self.start_round(now, id, out);
--- a/crates/edge/src/read.rs
+++ b/crates/edge/src/read.rs
@@ -1,20 +1,20 @@
 //! Readable content: each object has a home edge that fills it once for all.
+use crate::cacheability::sharing;
 use crate::copies::Copy;
 use crate::edge::Edge;
 use crate::jobs::*;
-use crate::sharing::sharing;
-use crate::sources::{Source, WORTH};
+use crate::sources::{Source, MIN_DISK_CACHE_TTL};
 use control_state::*;
 use primitives::{Addr, Mono, Span};
 use std::sync::Arc;
 
 /// A copy good when it was decided on may still leave for so long, half of what a
 /// copy may outlive its life by.
-pub(crate) const WAY_OUT: Span = Span::secs(1);
+pub(crate) const DELIVERY_MARGIN: Span = Span::secs(1);
 
 /// What another edge asks for, beside the object.
 pub(crate) struct Wish {
-    pub heads: Heads,
+    pub heads: Headers,
     pub reach: Reach,
     /// The `ETag` of what it holds.
     pub held: Option<String>,
@@ -28,19 +28,19 @@
         // A lifetime that was shortened since holds for what is kept already.
         let young = |c: &&Copy| now - c.since < j.row.ttl;
         if let Some(c) = self.copies.get(now, &obj).filter(|c| c.public || !own).filter(young).cloned() {
-            let until = (c.until + WAY_OUT).min(self.leased_until());
-            let s = Step::Serve(c.whole.clone(), Shared::Copy(now - c.since), until);
+            let until = (c.until + DELIVERY_MARGIN).min(self.leased_until());
+            let s = Step::Serve(c.whole.clone(), AnswerSource::Copy(now - c.since), until);
             return j.callers.iter().for_each(|c| self.tell(now, &c.caller, s.clone(), out));
         }
         // What is this caller's own is asked of the origin, for this caller alone.
         let asks = ["if-match", "if-unmodified-since"].iter().any(|n| j.req.heads.has(n));
         let asks = asks || !j.req.body.is_empty();
-        if own || asks || self.solo.get(&obj).is_some_and(|t| *t > now) {
-            j.solo = true;
+        if own || asks || self.unshared.get(&obj).is_some_and(|t| *t > now) {
+            j.unshared = true;
             self.launch(now, j, out);
             return;
         }
-        j.req = Req { method: "GET".into(), heads: j.req.heads.for_all(), ..j.req };
+        j.req = CallerRequest { method: "GET".into(), heads: j.req.heads.for_shared_fetch(), ..j.req };
         if self.join_fill(&obj, &j.callers, None) {
             return;
         }
@@ -52,10 +52,10 @@
 
     /// Fills are coalesced: later callers wait for the first one's. Who acts for a reach
     /// does not wait for another who does.
-    fn join_fill(&mut self, obj: &Object, callers: &[Waiting], acts_for: Option<Reach>) -> bool {
+    fn join_fill(&mut self, obj: &Object, callers: &[Waiting], home_reach: Option<Reach>) -> bool {
         let id = self.fills.get(obj).copied();
-        let beyond = |j: &Job| match (&j.stage, acts_for) {
-            (Stage::Home(inquiry), Some(acts)) => inquiry.source > Source::Home(acts),
+        let beyond = |j: &Job| match (&j.stage, home_reach) {
+            (Stage::Home(copy_request), Some(acts)) => copy_request.source > Source::Home(acts),
             _ => true,
         };
         let open = id.and_then(|id| self.jobs.get_mut(&id)).filter(|j| !j.spoiled && beyond(j));
@@ -63,14 +63,14 @@
     }
 
     /// An answer to a question for a copy.
-    pub(crate) fn copy_got(&mut self, to: Addr, ask: AskId, said: CopySaid) -> Out {
-        Out::Send(to, Msg::CopyGot { ask, said, purges: self.purges() })
+    pub(crate) fn copy_got(&mut self, to: Addr, ask: RequestId, said: CopyReply) -> Out {
+        Out::Send(to, Msg::CopyResult { ask, said, purges: self.purges() })
     }
 
     pub(crate) fn on_copy_ask(
         &mut self,
         now: Mono,
-        (from, ask): (Addr, AskId),
+        (from, ask): (Addr, RequestId),
         obj: Object,
         wish: Wish,
         out: &mut Vec<Out>,
@@ -78,7 +78,7 @@
         let caller = Caller::Edge(from, ask);
         // Purges may not have reached an edge out of touch: others do not rely on it.
         if !self.in_touch(now) {
-            return out.push(self.copy_got(from, ask, CopySaid::NotYet));
+            return out.push(self.copy_got(from, ask, CopyReply::TemporarilyUnavailable));
         }
         // By the lane that leads to it now: the asker may go by an older configuration, or a newer.
         let lane = self.table.lane_of(&obj.site, &obj.path).unwrap_or_default();
@@ -89,35 +89,35 @@
             let until = c.until.min(self.leased_until());
             let same = wish.held.is_some() && wish.held.as_deref() == c.whole.heads.get("etag");
             let said = if same {
-                CopySaid::Same { left: until - now, aged: now - c.since }
+                CopyReply::Same { left: until - now, current_age: now - c.since }
             } else {
-                CopySaid::Got(Box::new(c.show(now, until)))
+                CopyReply::Got(Box::new(c.show(now, until)))
             };
             return out.push(self.copy_got(from, ask, said));
         }
-        if self.solo.get(&obj).is_some_and(|t| *t > now) {
-            return out.push(self.copy_got(from, ask, CopySaid::Personal));
+        if self.unshared.get(&obj).is_some_and(|t| *t > now) {
+            return out.push(self.copy_got(from, ask, CopyReply::Uncacheable));
         }
-        out.push(Out::Send(from, Msg::CopyWait(ask)));
+        out.push(Out::Send(from, Msg::CopyPending(ask)));
         let waiting = Waiting::of_edge(caller, now, wish.patience);
         if self.leased(now) && self.join_fill(&obj, std::slice::from_ref(&waiting), Some(wish.reach)) {
             return;
         }
         let (method, body) = ("GET".into(), Arc::new(vec![]));
-        let req = Req {
+        let req = CallerRequest {
             method,
             lane,
             path: obj.path.clone(),
             key: None,
-            heads: wish.heads.for_all(),
+            heads: wish.heads.for_shared_fetch(),
             body,
             left: Some(wish.patience.left),
-            ..Req::default()
+            ..CallerRequest::default()
         };
         match self.admit(now, req).ok().filter(|j| j.object() == obj && j.kind == Kind::Read) {
             Some(mut j) => {
                 j.join(&[waiting]);
-                j.acts_for = Some(wish.reach);
+                j.home_reach = Some(wish.reach);
                 let id = self.number();
                 self.jobs.insert(id, j);
                 let source = self.first_source(now, &obj, Some(wish.reach));
@@ -137,29 +137,29 @@
     pub(crate) fn filled(&mut self, now: Mono, id: u64, sent: Mono, w: Whole, out: &mut Vec<Out>) {
         let Some(j) = self.jobs.get(&id) else { return };
         let says = sharing(&j.req, &w, j.row.ttl);
-        let (obj, until, alone) = (j.object(), sent + says.life, j.solo);
+        let (obj, until, alone) = (j.object(), sent + says.life, j.unshared);
         self.body_sizes.note(&j.req.lane, w.size());
         let common = !says.personal && (w.status != 200 || says.life > Span(0));
         // What one caller asked for alone may be less than the whole, or encoded for it.
         let plain = !alone || (j.req.method == "GET" && !w.heads.has("content-encoding"));
         if plain && says.life > Span(0) && self.leased(now) {
-            let since = sent - says.aged;
+            let since = sent - says.current_age;
             let whole = Arc::new(w.kept());
             self.keep(now, obj.clone(), Copy { whole, public: says.public, since, until, guest: false });
-            if until - now >= WORTH {
-                if let Some(a) = self.stock_of(now, &obj) {
-                    out.push(Out::Send(a, Msg::StockOffer(self.ask_id(id))));
+            if until - now >= MIN_DISK_CACHE_TTL {
+                if let Some(a) = self.disk_cache_ledger(now, &obj) {
+                    out.push(Out::Send(a, Msg::DiskCacheOffer(self.ask_id(id))));
                     self.offers.insert(id, obj);
                 }
             }
         }
         // An answer just fetched may be served even if it may not be kept.
         let until = until.max(now + Span::ms(1500)).min(self.leased_until());
-        let s = Step::Serve(Arc::new(w), Shared::Origin, until);
+        let s = Step::Serve(Arc::new(w), AnswerSource::Origin, until);
         if alone || common {
             self.finish(now, id, s, out);
         } else {
-            self.part_ways(now, id, Some(s), out);
+            self.split_unshared_callers(now, id, Some(s), out);
         }
     }
 }
--- a/crates/edge/src/renew.rs
+++ b/crates/edge/src/revalidation.rs
@@ -1,21 +1,21 @@
 //! Renewing copies: an origin that still has what a copy shows says so in a few bytes.
+use crate::cacheability::sharing;
 use crate::copies::Copy;
 use crate::edge::Edge;
-use crate::sharing::sharing;
 use control_state::*;
 use primitives::{Mono, Span};
 
 pub(crate) const ASK_IF: &str = "if-none-match";
 /// As for any copy, see `read`.
-const WAY_OUT: Span = Span::secs(1);
+const DELIVERY_MARGIN: Span = Span::secs(1);
 
 impl Edge {
     /// A fill of something that was had before asks only for what is newer.
-    pub(crate) fn conditional(&self, id: u64, req: Req) -> Req {
-        let j = self.jobs.get(&id).filter(|j| j.kind == Kind::Read && !j.solo && !j.plain);
+    pub(crate) fn conditional(&self, id: u64, req: CallerRequest) -> CallerRequest {
+        let j = self.jobs.get(&id).filter(|j| j.kind == Kind::Read && !j.unshared && !j.plain);
         let was = j.and_then(|j| self.copies.peek(&j.object()));
         let tag = was.and_then(|c| c.whole.heads.get("etag")).map(str::to_string);
-        tag.into_iter().fold(req, |q, t| Req { heads: q.heads.with(ASK_IF, t), ..q })
+        tag.into_iter().fold(req, |q, t| CallerRequest { heads: q.heads.with(ASK_IF, t), ..q })
     }
 
     /// The origin has nothing newer: the copy lives on, from when it was asked about.
@@ -27,13 +27,13 @@
         let Some(was) = self.copies.peek(&obj).filter(same).cloned() else {
             // It left the shelf for room: the whole is wanted after all.
             j.plain = true;
-            return self.retry_or(now, id, true, Step::Doubt(Span::secs(1)), out);
+            return self.retry_or(now, id, true, Step::OutcomeUnknown(Span::secs(1)), out);
         };
         let life = sharing(&r.req, &was.whole, ttl).life;
         let (since, until) = (sent, sent + life);
         self.count("renewed");
         self.copies.put(obj, Copy { since, until, ..was.clone() });
-        let by = (until.max(now) + WAY_OUT).min(self.leased_until());
-        self.finish(now, id, Step::Serve(was.whole, Shared::Copy(now - since), by), out);
+        let by = (until.max(now) + DELIVERY_MARGIN).min(self.leased_until());
+        self.finish(now, id, Step::Serve(was.whole, AnswerSource::Copy(now - since), by), out);
     }
 }
--- a/crates/edge/src/rounds.rs
+++ b/crates/edge/src/rounds.rs
@@ -1,7 +1,7 @@
 //! Rounds: one try of a job at one origin.
 use crate::edge::Edge;
 use crate::jobs::*;
-use crate::renew::ASK_IF;
+use crate::revalidation::ASK_IF;
 use crate::sources::Source;
 use control_state::*;
 use primitives::{Mono, Span};
@@ -17,30 +17,30 @@
 impl Edge {
     pub(crate) fn stage(&mut self, now: Mono, id: u64, s: Stage) {
         let Some(j) = self.jobs.get_mut(&id) else { return };
-        self.metrics.note_wait(&j.stage, now - j.staged);
+        self.metrics.note_wait(&j.stage, now - j.stage_since);
         j.stage = s;
-        j.staged = now;
+        j.stage_since = now;
     }
 
     pub(crate) fn launch(&mut self, now: Mono, j: Job, out: &mut Vec<Out>) -> u64 {
         let id = self.number();
         self.jobs.insert(id, j);
-        self.line_up(now, id, out);
+        self.enqueue_job(now, id, out);
         id
     }
 
     /// Sends the executor to an origin, or leaves the job in line, or denies it.
     pub(crate) fn start_round(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         let Some(j) = self.jobs.get(&id) else { return };
-        let (svc, leave, req) = (j.svc.clone(), j.must_leave, j.req.clone());
+        let (svc, leave, req) = (j.svc.clone(), j.send_deadline, j.req.clone());
         let on = match j.kind {
             Kind::Read => primitives::hash(&j.req.path),
             Kind::Keyed => primitives::hash(&j.req.key),
             Kind::Plain | Kind::Once => id,
         };
         let fresh_first = |(a, o, _): &(primitives::Addr, Origin, Mono)| j.tried.contains(&(*a, o.birth));
-        let mut all = if self.env.policy.by_load {
-            self.by_load(now, &svc, id, j.kind == Kind::Read)
+        let mut all = if self.env.policy.load_balanced {
+            self.load_balanced(now, &svc, id, j.kind == Kind::Read)
         } else {
             self.candidates(now, &svc, on)
         };
@@ -52,7 +52,7 @@
         if lease <= now || leave <= now {
             return self.deny(now, id, Denied::NoLease, out);
         }
-        let Some(token) = self.spend(now, &svc) else { return self.urge(now, &svc, out) };
+        let Some(token) = self.spend(now, &svc) else { return self.request_tokens_now(now, &svc, out) };
         let n = self.number();
         let req = self.conditional(id, req);
         let r = Round {
@@ -62,7 +62,7 @@
             birth: o.birth,
             tag: o.tag,
             until: fresh.min(lease).min(token).min(leave),
-            horizon: self.jobs.get(&id).map_or(now, |j| j.by),
+            answer_deadline: self.jobs.get(&id).map_or(now, |j| j.by),
             extra: self.jobs.get(&id).is_some_and(|j| j.tries + j.refused > 0),
             req,
         };
@@ -75,65 +75,65 @@
     }
 
     /// An executor's report.
-    pub(crate) fn done(&mut self, now: Mono, n: u64, f: Fetched, out: &mut Vec<Out>) {
+    pub(crate) fn done(&mut self, now: Mono, n: u64, f: FetchOutcome, out: &mut Vec<Out>) {
         let Some(id) = self.rounds.remove(&n) else { return };
         let Some(j) = self.jobs.get_mut(&id) else { return };
         let Stage::Out(r, token) = &j.stage else { return };
-        let (r, token, sent) = (r.clone(), *token, j.staged);
+        let (r, token, sent) = (r.clone(), *token, j.stage_since);
         match f {
-            Fetched::NotSent => {
+            FetchOutcome::NotSent => {
                 j.unsent += 1;
                 let again = j.unsent < 3;
                 self.refund(now, &r.svc, token);
-                self.note_bad(now, r.addr, r.birth);
+                self.note_failure(now, r.addr, r.birth);
                 self.note_unreached(now, r.addr, r.birth);
                 if again {
-                    self.line_up(now, id, out);
+                    self.enqueue_job(now, id, out);
                 } else {
                     self.deny(now, id, Denied::NoOrigin, out);
                 }
             }
-            Fetched::Refused | Fetched::Elsewhere => {
+            FetchOutcome::Refused | FetchOutcome::WrongIncarnation => {
                 j.refused += 1;
                 let more = j.refused + j.tries < j.attempts;
-                self.note_bad(now, r.addr, r.birth);
-                if more && self.extra_try(now, &r.svc) {
+                self.note_failure(now, r.addr, r.birth);
+                if more && self.take_retry_token(now, &r.svc) {
                     self.count("extra tries");
-                    self.line_up(now, id, out);
+                    self.enqueue_job(now, id, out);
                 } else {
                     self.deny(now, id, Denied::Refused, out);
                 }
             }
-            Fetched::Lost => {
+            FetchOutcome::Lost => {
                 j.tries += 1;
                 let safe = j.safe();
-                self.note_bad(now, r.addr, r.birth);
-                self.retry_or(now, id, safe, Step::Doubt(Span::secs(2)), out);
+                self.note_failure(now, r.addr, r.birth);
+                self.retry_or(now, id, safe, Step::OutcomeUnknown(Span::secs(2)), out);
             }
-            Fetched::TooLarge => {
+            FetchOutcome::TooLarge => {
                 // Asking again would only bring it once more.
                 j.tries += 1;
                 let (keyed, w) = (j.kind == Kind::Keyed, too_large());
-                let s = Step::Serve(Arc::new(w.clone()), Shared::Own, Mono(u64::MAX));
+                let s = Step::Serve(Arc::new(w.clone()), AnswerSource::Own, Mono(u64::MAX));
                 if keyed {
                     self.ran(now, id, w, s, out);
                 } else {
                     self.finish(now, id, s, out);
                 }
             }
-            Fetched::Whole(w) => {
+            FetchOutcome::Whole(w) => {
                 j.tries += 1;
                 let (kind, safe, spoiled) = (j.kind, j.safe(), j.spoiled);
                 let spoiled = spoiled || self.purged_tags.took(&w.heads, sent);
-                self.note_pace(r.addr, r.birth, now - sent);
+                self.note_latency(r.addr, r.birth, now - sent);
                 let failed = w.status >= 500;
-                let s = Step::Serve(Arc::new(w.clone()), Shared::Origin, Mono(u64::MAX));
+                let s = Step::Serve(Arc::new(w.clone()), AnswerSource::Origin, Mono(u64::MAX));
                 match kind {
                     Kind::Read if spoiled => {
-                        self.retry_or(now, id, true, Step::Doubt(Span::secs(1)), out);
+                        self.retry_or(now, id, true, Step::OutcomeUnknown(Span::secs(1)), out);
                     }
                     _ if failed && safe => {
-                        self.note_bad(now, r.addr, r.birth);
+                        self.note_failure(now, r.addr, r.birth);
                         self.retry_or(now, id, true, s, out);
                     }
                     Kind::Read if w.status == 304 && r.req.heads.has(ASK_IF) => {
@@ -152,13 +152,13 @@
         let Some(j) = self.jobs.get_mut(&id) else { return };
         let (svc, few) = (j.svc.clone(), j.tries + j.refused < j.attempts);
         let late = now >= j.by;
-        if safe && few && !late && self.extra_try(now, &svc) {
+        if safe && few && !late && self.take_retry_token(now, &svc) {
             self.count("extra tries");
             self.jobs.entry(id).and_modify(|j| j.spoiled = false);
             if self.jobs[&id].kind == Kind::Read {
                 self.ask_source(now, id, Source::Ledger, out);
             } else {
-                self.line_up(now, id, out);
+                self.enqueue_job(now, id, out);
             }
         } else {
             self.finish(now, id, last, out);
--- a/crates/edge/src/sources.rs
+++ b/crates/edge/src/sources.rs
@@ -12,7 +12,7 @@
 use primitives::{Addr, Mono, Span};
 
 /// Copies that live shorter are not worth a ledger's disk.
-pub(crate) const WORTH: Span = Span::secs(1);
+pub(crate) const MIN_DISK_CACHE_TTL: Span = Span::secs(1);
 /// A home that kept silent is passed over for so long.
 const PASSED_OVER: Span = Span::secs(2);
 /// No home is waited for longer.
@@ -34,13 +34,13 @@
 
 /// A question under way.
 #[derive(Copy, Clone, Debug)]
-pub(crate) struct Inquiry {
+pub(crate) struct CopyRequest {
     pub to: Addr,
     /// Lives of what it answers count from here.
     pub asked: Mono,
     pub source: Source,
     /// When it said last that it is at it.
-    pub at_it: Option<Mono>,
+    pub last_progress_at: Option<Mono>,
 }
 
 impl Edge {
@@ -61,8 +61,8 @@
     }
 
     /// The ledger that stocks an object, of this edge's region, if ledgers stock any.
-    pub(crate) fn stock_of(&self, now: Mono, obj: &Object) -> Option<Addr> {
-        if !self.env.stock {
+    pub(crate) fn disk_cache_ledger(&self, now: Mono, obj: &Object) -> Option<Addr> {
+        if !self.env.disk_cache {
             return None;
         }
         let here = self.follow.env.zone.region();
@@ -73,9 +73,9 @@
     }
 
     /// The first source that is to be asked by one who acts for that reach, or for callers.
-    pub(crate) fn first_source(&self, now: Mono, object: &Object, acts_for: Option<Reach>) -> Source {
+    pub(crate) fn first_source(&self, now: Mono, object: &Object, home_reach: Option<Reach>) -> Source {
         let me = self.follow.env.addr;
-        let wider = self.reaches().iter().filter(|r| acts_for.is_none_or(|acts| **r > acts));
+        let wider = self.reaches().iter().filter(|r| home_reach.is_none_or(|acts| **r > acts));
         // Who is the home of a reach asks nobody of a nearer one.
         let own = self.reaches().iter().rev().find(|r| self.home(now, object, **r) == Some(me));
         let mut asked = wider.filter(|r| own.is_none_or(|own| *r > own));
@@ -83,23 +83,23 @@
     }
 
     /// Who was asked is out of touch: another home of the same reach, or the next source.
-    pub(crate) fn ask_another(&mut self, now: Mono, id: u64, inquiry: Inquiry, out: &mut Vec<Out>) {
-        self.mute.insert(inquiry.to, now + OUT_OF_TOUCH);
-        self.ask_source(now, id, inquiry.source, out);
+    pub(crate) fn ask_another(&mut self, now: Mono, id: u64, copy_request: CopyRequest, out: &mut Vec<Out>) {
+        self.mute.insert(copy_request.to, now + OUT_OF_TOUCH);
+        self.ask_source(now, id, copy_request.source, out);
     }
 
     /// Fills that stand in line here for want of a home: once there is one that speaks, they are
     /// left to it.
-    pub(crate) fn leave_lines_for_homes(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let fill = |j: &Job| j.in_line() && j.kind == Kind::Read && !j.solo;
+    pub(crate) fn move_queued_fills_to_homes(&mut self, now: Mono, out: &mut Vec<Out>) {
+        let fill = |j: &Job| j.in_line() && j.kind == Kind::Read && !j.unshared;
         let fills: Vec<u64> = self.jobs.iter().filter(|(_, j)| fill(j)).map(|(id, _)| *id).collect();
         fills.into_iter().for_each(|id| self.leave_line_for_home(now, id, out));
     }
 
     fn leave_line_for_home(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         let Some(j) = self.jobs.get(&id) else { return };
-        let (object, acts_for) = (j.object(), j.acts_for);
-        let mut source = self.first_source(now, &object, acts_for);
+        let (object, home_reach) = (j.object(), j.home_reach);
+        let mut source = self.first_source(now, &object, home_reach);
         while let Source::Home(reach) = source {
             if self.home_to_ask(now, &object, reach).is_some() {
                 self.count("left a line for a home");
@@ -113,15 +113,20 @@
     pub(crate) fn ask_source(&mut self, now: Mono, id: u64, source: Source, out: &mut Vec<Out>) {
         let Some(j) = self.jobs.get_mut(&id) else { return };
         j.spoiled = false;
-        let (object, lives) = (j.object(), j.row.ttl >= WORTH);
+        let (object, lives) = (j.object(), j.row.ttl >= MIN_DISK_CACHE_TTL);
         self.fills.insert(object.clone(), id);
         let to = match source {
             Source::Home(reach) => self.home_to_ask(now, &object, reach),
-            Source::Ledger => self.stock_of(now, &object).filter(|_| lives),
-            Source::Origin => return self.line_up(now, id, out),
+            Source::Ledger => self.disk_cache_ledger(now, &object).filter(|_| lives),
+            Source::Origin => return self.enqueue_job(now, id, out),
         };
         match to {
-            Some(to) => self.inquire(now, id, Inquiry { to, asked: now, source, at_it: None }, out),
+            Some(to) => self.send_copy_request(
+                now,
+                id,
+                CopyRequest { to, asked: now, source, last_progress_at: None },
+                out,
+            ),
             None => self.ask_source(now, id, self.after(source), out),
         }
     }
@@ -153,9 +158,9 @@
         let spared = || {
             let slots: u32 = origins.iter().map(|(_, origin)| origin.cap).sum();
             reach == Reach::Region
-                && ((slots as usize) < self.table.edges || self.has_line(now, &object.service))
+                && ((slots as usize) < self.table.edges || self.has_queued_jobs(now, &object.service))
         };
-        self.body_sizes.exceed(&lane, self.env.policy.far_body)
+        self.body_sizes.exceed(&lane, self.env.policy.cross_region_body_limit)
             && !renewable()
             && origins.iter().any(usable)
             && !spared()
@@ -167,35 +172,35 @@
         wider.map_or(Source::Ledger, |r| Source::Home(*r))
     }
 
-    fn inquire(&mut self, now: Mono, id: u64, inquiry: Inquiry, out: &mut Vec<Out>) {
+    fn send_copy_request(&mut self, now: Mono, id: u64, copy_request: CopyRequest, out: &mut Vec<Out>) {
         let ask = self.ask_id(id);
         let Some(j) = self.jobs.get(&id) else { return };
         let (object, heads, patience) = (j.object(), j.req.heads.clone(), j.patience(now));
-        let reach = match inquiry.source {
+        let reach = match copy_request.source {
             Source::Home(reach) => reach,
             _ => Reach::Deployment,
         };
         // Only what is kept here can be renewed.
         let lapsed = self.copies.peek(&object);
         let held = lapsed.and_then(|c| c.whole.heads.get("etag")).map(str::to_string);
-        let held = held.filter(|_| inquiry.source != Source::Ledger);
-        self.count(match inquiry.source {
+        let held = held.filter(|_| copy_request.source != Source::Ledger);
+        self.count(match copy_request.source {
             Source::Home(Reach::Zone) => "asked of zone homes",
             Source::Home(Reach::Region) => "asked of region homes",
             Source::Home(Reach::Deployment) => "asked of deployment homes",
             _ => "asked of ledgers",
         });
-        out.push(Out::Send(inquiry.to, Msg::CopyAsk { ask, object, heads, reach, held, patience }));
-        self.stage(now, id, Stage::Home(inquiry));
+        out.push(Out::Send(copy_request.to, Msg::CopyQuery { ask, object, heads, reach, held, patience }));
+        self.stage(now, id, Stage::Home(copy_request));
     }
 
     /// How long whoever was asked may take.
-    pub(crate) fn patience_with(&self, inquiry: &Inquiry) -> Span {
+    pub(crate) fn patience_with(&self, copy_request: &CopyRequest) -> Span {
         let policy = &self.env.policy;
-        match (inquiry.source, inquiry.at_it) {
-            (_, Some(said)) => said - inquiry.asked + SILENT_AT_IT,
+        match (copy_request.source, copy_request.last_progress_at) {
+            (_, Some(said)) => said - copy_request.asked + SILENT_AT_IT,
             (Source::Home(reach), None) => {
-                let least = if reach == Reach::Zone { policy.home } else { policy.far_home };
+                let least = if reach == Reach::Zone { policy.home } else { policy.wide_home_timeout };
                 self.answer_times.get(&reach).copied().unwrap_or_default().limit(least, LONGEST_WAIT)
             }
             _ => policy.home,
@@ -203,43 +208,43 @@
     }
 
     /// The first word of an answer came.
-    pub(crate) fn note_answer_time(&mut self, now: Mono, inquiry: &Inquiry) {
-        if let (Source::Home(reach), None) = (inquiry.source, inquiry.at_it) {
-            self.answer_times.entry(reach).or_default().note(now - inquiry.asked);
+    pub(crate) fn note_answer_time(&mut self, now: Mono, copy_request: &CopyRequest) {
+        if let (Source::Home(reach), None) = (copy_request.source, copy_request.last_progress_at) {
+            self.answer_times.entry(reach).or_default().note(now - copy_request.asked);
         }
     }
 
     /// Who was asked has nothing, or cannot be asked any more.
     pub(crate) fn ask_next(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         let source = match self.jobs.get(&id).map(|j| &j.stage) {
-            Some(Stage::Home(inquiry)) => self.after(inquiry.source),
+            Some(Stage::Home(copy_request)) => self.after(copy_request.source),
             _ => Source::Origin,
         };
         self.ask_source(now, id, source, out);
     }
 
     /// Who was asked kept silent: the answer is still welcome, and somebody else is asked.
-    pub(crate) fn pass_over(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
+    pub(crate) fn skip_silent_home(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         let Some(j) = self.jobs.get_mut(&id) else { return };
-        let Stage::Home(inquiry) = j.stage else { return };
-        j.overdue.push(inquiry);
-        let homes = j.overdue.iter().filter(|i| i.source == inquiry.source).count() as u8;
+        let Stage::Home(copy_request) = j.stage else { return };
+        j.overdue.push(copy_request);
+        let homes = j.overdue.iter().filter(|i| i.source == copy_request.source).count() as u8;
         let widest = self.reaches().last().map(|r| Source::Home(*r));
-        let again = widest == Some(inquiry.source) && homes < WIDEST_HOMES;
-        self.mute.insert(inquiry.to, now + PASSED_OVER);
+        let again = widest == Some(copy_request.source) && homes < WIDEST_HOMES;
+        self.mute.insert(copy_request.to, now + PASSED_OVER);
         self.count(if again { "silent region homes" } else { "mute homes" });
         if again {
-            self.ask_source(now, id, inquiry.source, out);
+            self.ask_source(now, id, copy_request.source, out);
         } else {
             self.ask_next(now, id, out);
         }
     }
 
     /// A purge came: what was answered before is not used, and the same one is asked again.
-    pub(crate) fn ask_anew(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
+    pub(crate) fn restart_copy_request(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         let Some(j) = self.jobs.get_mut(&id) else { return };
         j.overdue.clear();
-        let Stage::Home(inquiry) = j.stage else { return };
-        self.ask_source(now, id, inquiry.source, out);
+        let Stage::Home(copy_request) = j.stage else { return };
+        self.ask_source(now, id, copy_request.source, out);
     }
 }
--- a/crates/edge/src/table.rs
+++ b/crates/edge/src/table.rs
@@ -1,6 +1,6 @@
 //! What an edge routes by: an immutable snapshot, built anew and swapped whole.
 use crate::homes::Homes;
-use crate::lanes::Lanes;
+use crate::route_table::Lanes;
 use control_state::*;
 use primitives::{Addr, Birth, NodeId, Version};
 use std::collections::BTreeMap;
--- a/crates/edge/src/updates.rs
+++ b/crates/edge/src/updates.rs
@@ -19,7 +19,7 @@
         let (sure, era) = (self.follow.sure, self.follow.era);
         let new = self.follow.on_update(now, from, &n, out);
         // One that served on for so long may have missed purges that nobody remembers.
-        if !mark_holds(sure, self.follow.sure) {
+        if !is_purge_mark_valid(sure, self.follow.sure) {
             self.forget();
         }
         // Purges that are forgotten count as well, and that goes by eras.
@@ -40,10 +40,10 @@
         // Times of an earlier life's asking would make old beats and slices new.
         if let Some(r) = n.reply.as_ref().filter(|r| r.life == self.follow.env.life) {
             self.take_beats(r);
-            self.take_slices(now, from, r, out);
+            self.accept_borrowed_tokens(now, from, r, out);
         }
         self.check_lapse(now);
-        if self.follow.myself().is_some_and(|m| m.standing == Standing::Leaving) {
+        if self.follow.own_node().is_some_and(|m| m.standing == Standing::Leaving) {
             self.leave(now);
         }
     }
@@ -63,9 +63,9 @@
     }
 
     /// Says when too few controllers renew its lease, though it serves on, and when enough do again.
-    pub(crate) fn watch_touch(&mut self, now: Mono, out: &mut Vec<Out>) {
+    pub(crate) fn report_lease_quorum(&mut self, now: Mono, out: &mut Vec<Out>) {
         let touch = self.in_touch(now);
-        match (std::mem::replace(&mut self.had_touch, touch), touch) {
+        match (std::mem::replace(&mut self.had_lease_quorum, touch), touch) {
             (true, false) => out.push(Out::Alarm("out of touch: too few controllers renew the lease")),
             (false, true) => out.push(Out::Note("in touch: enough controllers renew the lease")),
             _ => (),
--- a/crates/lanewing/src/http_api.rs
+++ b/crates/lanewing/src/http_api.rs
@@ -1,11 +1,11 @@
 //! What the roles answer over HTTP: control state, changes and beats here, callers' requests
 //! in [`caller`].
 use control_state::*;
-use primitives::{Addr, Look, LookProblem};
+use primitives::{Addr, JsonError, Look};
 use runtime::front::{common, Reply};
-use runtime::intake::Call;
 use runtime::net::Counts;
 use runtime::process::threads;
+use runtime::request_parser::Call;
 use runtime::shell::Handle;
 use std::sync::atomic::Ordering::Relaxed;
 use std::sync::atomic::{AtomicU64, AtomicUsize};
@@ -66,7 +66,7 @@
 }
 
 fn show(handle: &Handle, path: &str) -> Reply {
-    let Some(Receipt::Table(state, beats)) = handle.ask(Ask::Table, LOCAL_TIMEOUT) else {
+    let Some(NodeReply::Table(state, beats)) = handle.ask(Ask::Table, LOCAL_TIMEOUT) else {
         return stuck();
     };
     let items = |wanted: fn(&Key) -> bool| show_items(&state, false, wanted);
@@ -75,11 +75,11 @@
         "lanewing/table" => vec![("rows", items(|key| matches!(key, Key::Row(..)))), era],
         "lanewing/origins" => vec![
             ("origins", items(|key| matches!(key, Key::Origin(_)))),
-            ("beats", show_beats(&beats)),
-            ("pairs", show_pairs(&state)),
+            ("beats", heartbeats_json(&beats)),
+            ("pairs", standby_origins_json(&state)),
         ],
         _ => vec![
-            ("controllers", show_members(&state)),
+            ("controllers", members_json(&state)),
             ("nodes", items(|key| matches!(key, Key::Node(_)))),
             ("ledger", items(|key| matches!(key, Key::Roll))),
             era,
@@ -89,7 +89,7 @@
 }
 
 fn change(handle: &Handle, call: &Call) -> Reply {
-    let change = match call.json(read_change) {
+    let change = match call.json(parse_change) {
         Ok(change) => change,
         Err(reply) => return reply,
     };
@@ -100,8 +100,8 @@
     let receipt = handle.ask(Ask::Change(change), CHANGE_TIMEOUT);
     WAITING_CHANGES.fetch_sub(1, Relaxed);
     match receipt {
-        Some(Receipt::Change(verdict)) => Reply::json(verdict_status(&verdict), show_verdict(&verdict)),
-        Some(Receipt::NotNow(why)) => not_now(why),
+        Some(NodeReply::Change(verdict)) => Reply::json(verdict_status(&verdict), verdict_json(&verdict)),
+        Some(NodeReply::Unavailable(why)) => not_now(why),
         _ => {
             let why = "not yet known to be in force; send it again with the same id";
             Reply::problem(504, "in doubt", why).after(RETRY_AFTER_S)
@@ -115,22 +115,22 @@
         Verdict::Stale(..) => 409,
         Verdict::Void(Void::IdTaken | Void::OtherLife | Void::NothingNew) => 409,
         Verdict::Void(Void::Absent) => 404,
-        Verdict::Flawed(_) => 422,
+        Verdict::InvalidEdit(_) => 422,
         Verdict::Conflict(_) => 409,
         Verdict::Forgotten(_) => 503,
     }
 }
 
 fn beat(handle: &Handle, call: &Call) -> Reply {
-    let (beat, mark) = match call.json(read_beat) {
+    let (beat, mark) = match call.json(parse_heartbeat) {
         Ok(read) => read,
         Err(reply) => return reply,
     };
     // One that says the origin leaves is answered once no edge asks that origin any more.
     let timeout = if beat.mood.ends() { CHANGE_TIMEOUT } else { LOCAL_TIMEOUT };
-    let in_force = match handle.ask(Ask::Beat(beat, mark), timeout) {
-        Some(Receipt::Took) => false,
-        Some(Receipt::Change(verdict)) => matches!(verdict, Verdict::Done(_)),
+    let in_force = match handle.ask(Ask::OriginHeartbeat(beat, mark), timeout) {
+        Some(NodeReply::Acknowledged) => false,
+        Some(NodeReply::Change(verdict)) => matches!(verdict, Verdict::Done(_)),
         _ => return not_now("this controller reaches too few others"),
     };
     let fields = vec![
@@ -141,7 +141,7 @@
     Reply::json(200, obj(fields))
 }
 
-fn read_replacement(look: &Look) -> Result<(Addr, Addr), LookProblem> {
+fn read_replacement(look: &Look) -> Result<(Addr, Addr), JsonError> {
     look.only(&["old", "new"])?;
     let addr = |name| look.field(name)?.parsed("an address such as 10.0.0.1:7100");
     Ok((addr("old")?, addr("new")?))
@@ -153,8 +153,8 @@
         Err(reply) => return reply,
     };
     match handle.ask(Ask::Replace { old, new }, LOCAL_TIMEOUT) {
-        Some(Receipt::Took) => Reply::json(202, obj(vec![("proposed", JsonValue::from(true))])),
-        Some(Receipt::NotNow(why)) => Reply::problem(409, "not now", why),
+        Some(NodeReply::Acknowledged) => Reply::json(202, obj(vec![("proposed", JsonValue::from(true))])),
+        Some(NodeReply::Unavailable(why)) => Reply::problem(409, "not now", why),
         _ => stuck(),
     }
 }
--- a/crates/lanewing/src/http_api/caller.rs
+++ b/crates/lanewing/src/http_api/caller.rs
@@ -2,9 +2,9 @@
 //! decision back.
 use control_state::*;
 use primitives::{Mono, Span};
-use runtime::cond::fit;
+use runtime::conditional_requests::fit;
 use runtime::front::Reply;
-use runtime::intake::Call;
+use runtime::request_parser::Call;
 use runtime::shell::Handle;
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,14 +19,14 @@
 /// Answers a caller's request.
 pub fn answer(handle: &Handle, call: Call) -> Reply {
     let (lane, path) = call.path.split_once('/').unwrap_or((&call.path, ""));
-    let request = Req {
+    let request = CallerRequest {
         method: call.method.clone(),
         lane: Lane(lane.to_string()),
         path: path.to_string(),
         key: call.key.clone(),
         heads: forwarded_fields(&call),
         body: Arc::new(call.body),
-        ..Req::default()
+        ..CallerRequest::default()
     };
     // The memory for the body is released once the request is over.
     let _memory = call.hold;
@@ -35,11 +35,11 @@
         return Reply::problem(503, "denied", "this node is leaving").after(1);
     }
     match handle.ask(Ask::Begin(request), REQUEST_TIMEOUT) {
-        Some(Receipt::Step(Step::Serve(whole, source, until))) => {
+        Some(NodeReply::Step(Step::Serve(whole, source, until))) => {
             fit(&call.method, &call.heads, served(&whole, source, until))
         }
-        Some(Receipt::Step(Step::Deny(denied, wait))) => denial(denied, wait),
-        Some(Receipt::Step(Step::Doubt(wait))) => {
+        Some(NodeReply::Step(Step::Deny(denied, wait))) => denial(denied, wait),
+        Some(NodeReply::Step(Step::OutcomeUnknown(wait))) => {
             let why = "sent to an origin, whose answer was lost or is not known yet";
             Reply::problem(504, "in doubt", why).after(seconds(wait))
         }
@@ -80,7 +80,7 @@
 }
 
 /// The fields that the origin gets: the end-to-end ones, and for whom this edge forwards.
-fn forwarded_fields(call: &Call) -> Heads {
+fn forwarded_fields(call: &Call) -> Headers {
     let earlier = |name: &str| -> String {
         call.heads.all(name).map(|value| format!("{}, ", String::from_utf8_lossy(value))).collect()
     };
@@ -93,17 +93,17 @@
     fields.with("x-forwarded-host", host.to_string()).with("via", via)
 }
 
-fn served(whole: &Whole, source: Shared, until: Mono) -> Reply {
+fn served(whole: &Whole, source: AnswerSource, until: Mono) -> Reply {
     let mut fields = whole.heads.without(|name| name == "lanewing-length");
     let source = match source {
-        Shared::Origin => "origin",
-        Shared::Copy(age) => {
+        AnswerSource::Origin => "origin",
+        AnswerSource::Copy(age) => {
             let age = (age.0 / MICROS_PER_SECOND).to_string();
             fields = fields.without(|name| name == "age").with("age", age);
             "copy"
         }
-        Shared::Record => "record",
-        Shared::Own => "lanewing",
+        AnswerSource::Record => "record",
+        AnswerSource::Own => "lanewing",
     };
     let length = whole.heads.get("lanewing-length").and_then(|length| length.parse().ok());
     let reply = Reply::new(whole.status, fields.with("lanewing-from", source), whole.body.clone());
--- a/crates/lanewing/src/kernel.rs
+++ b/crates/lanewing/src/kernel.rs
@@ -1,6 +1,6 @@
 //! The kernel of the command line. It knows no role and no command: plug-ins register
 //! themselves at link time.
-use crate::LanewingProblem;
+use crate::LanewingError;
 use clap::{ArgMatches, Command};
 use linkme::distributed_slice;
 
@@ -11,7 +11,7 @@
     /// Its subcommands.
     pub commands: fn() -> Vec<Command>,
     /// Runs the subcommand of this name.
-    pub run: fn(&str, &ArgMatches) -> Result<(), LanewingProblem>,
+    pub run: fn(&str, &ArgMatches) -> Result<(), LanewingError>,
 }
 
 /// All plug-ins. Invariant: no two of them have a command of the same name; clap refuses that.
@@ -38,7 +38,7 @@
 }
 
 /// Runs the subcommand that was given.
-pub fn run(matches: &ArgMatches) -> Result<(), LanewingProblem> {
+pub fn run(matches: &ArgMatches) -> Result<(), LanewingError> {
     let (name, matches) = matches.subcommand().expect("required");
     let has = |plugin: &&Plugin| (plugin.commands)().iter().any(|command| command.get_name() == name);
     sorted().into_iter().find(has).map_or(Ok(()), |plugin| (plugin.run)(name, matches))
--- a/crates/lanewing/src/main.rs
+++ b/crates/lanewing/src/main.rs
@@ -24,27 +24,27 @@
 
 /// Why a command failed.
 #[derive(Debug, Snafu)]
-enum LanewingProblem {
+enum LanewingError {
     /// A role could not start.
     #[snafu(display("{source}"), context(false))]
-    Start { source: roles::StartProblem },
+    Start { source: roles::StartError },
     /// The platform's program failed.
     #[snafu(display("{source}"), context(false))]
-    Platform { source: platform::PlatformProblem },
+    Platform { source: platform::PlatformError },
     /// An operator's command failed.
     #[snafu(display("{source}"), context(false))]
-    Operator { source: operator::OperatorProblem },
+    Operator { source: operator::OperatorError },
     /// A stand-in failed.
     #[snafu(display("{source}"), context(false))]
-    Rehearsal { source: rehearsal::RehearsalProblem },
+    Rehearsal { source: rehearsal::RehearsalError },
 }
 
-impl LanewingProblem {
+impl LanewingError {
     fn exit_status(&self) -> u8 {
         match self {
-            LanewingProblem::Start { source: roles::StartProblem::Env { .. } } => INVALID,
-            LanewingProblem::Platform { source } => source.code(),
-            LanewingProblem::Operator { source } => source.exit_status(),
+            LanewingError::Start { source: roles::StartError::Env { .. } } => INVALID,
+            LanewingError::Platform { source } => source.code(),
+            LanewingError::Operator { source } => source.exit_status(),
             _ => FAILED,
         }
     }
--- a/crates/lanewing/src/operator.rs
+++ b/crates/lanewing/src/operator.rs
@@ -2,8 +2,8 @@
 use crate::columns::format_lists;
 use clap::ArgMatches;
 use control_state::{num, obj, text};
-use primitives::{parse, Addr, Look, LookProblem};
-use runtime::env::{Env, EnvProblem};
+use primitives::{parse, Addr, JsonError, Look};
+use runtime::settings::{Env, SettingsError};
 use snafu::{ResultExt, Snafu};
 use stand_ins::web;
 use std::path::PathBuf;
@@ -20,22 +20,22 @@
 /// Why an operator's command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum OperatorProblem {
+pub enum OperatorError {
     /// The settings file is invalid.
     #[snafu(display("{source}"), context(false))]
-    Env { source: EnvProblem },
+    Env { source: SettingsError },
     /// A change or runbook is invalid.
     #[snafu(display("{source}"), context(false))]
-    Invalid { source: LookProblem },
+    Invalid { source: JsonError },
     /// A file could not be read.
     #[snafu(display("{path}: {source}"))]
     File { path: String, source: std::io::Error },
     /// A line of a file of changes is invalid.
     #[snafu(display("{path}, line {line}: {source}"))]
-    Line { path: String, line: usize, source: LookProblem },
+    Line { path: String, line: usize, source: JsonError },
     /// A runbook stopped.
     #[snafu(display("{source}"), context(false))]
-    Runbook { source: runbooks::RunProblem },
+    Runbook { source: runbooks::RunError },
     /// A JSON Patch is invalid or does not apply.
     #[snafu(display("patch: {reason}"))]
     Patch { reason: String },
@@ -56,19 +56,19 @@
     NotNumber { flag: &'static str, value: String },
 }
 
-impl OperatorProblem {
+impl OperatorError {
     /// The exit status: 1 denied or failed, 2 the request makes no sense, 3 in doubt.
     pub fn exit_status(&self) -> u8 {
         match self {
-            OperatorProblem::Runbook { .. } | OperatorProblem::Denied { .. } | OperatorProblem::NoAnswer => 1,
-            OperatorProblem::InDoubt { .. } => 3,
+            OperatorError::Runbook { .. } | OperatorError::Denied { .. } | OperatorError::NoAnswer => 1,
+            OperatorError::InDoubt { .. } => 3,
             _ => 2,
         }
     }
 }
 
 /// What operators' commands return.
-pub type Result<T> = std::result::Result<T, OperatorProblem>;
+pub type Result<T> = std::result::Result<T, OperatorError>;
 type Answer = (u16, JsonValue);
 
 fn print_json(value: &JsonValue) {
@@ -96,7 +96,7 @@
             None => (),
         }
     }
-    last.ok_or(OperatorProblem::NoAnswer)
+    last.ok_or(OperatorError::NoAnswer)
 }
 
 fn accepted((status, body): Answer) -> Result<JsonValue> {
@@ -152,7 +152,7 @@
 fn change(matches: &ArgMatches, name: &'static str, operation: JsonValue) -> Result<()> {
     let id = change_id(matches);
     let change = obj(vec![("id", text(&id)), (name, operation)]);
-    control_state::read_change(&Look::at(&change, ""))?;
+    control_state::parse_change(&Look::at(&change, ""))?;
     send(matches, &id, &change)
 }
 
@@ -187,7 +187,8 @@
     let path = matches.get_one::<String>("file").expect("required");
     let mut changes = vec![];
     for (i, line) in read_file(path)?.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()) {
-        let read = parse(line).and_then(|json| Ok((control_state::read_change(&Look::at(&json, ""))?, json)));
+        let read =
+            parse(line).and_then(|json| Ok((control_state::parse_change(&Look::at(&json, ""))?, json)));
         changes.push(read.context(LineSnafu { path, line: i + 1 })?);
     }
     for (change, json) in &changes {
--- a/crates/lanewing/src/plan.rs
+++ b/crates/lanewing/src/plan.rs
@@ -2,7 +2,7 @@
 //! make, or carried out.
 use crate::args::{flag, id, operator_command};
 use crate::kernel::{Plugin, PLUGINS};
-use crate::operator::{change_id, fetch, read_file, send, OperatorProblem};
+use crate::operator::{change_id, fetch, read_file, send, OperatorError};
 use clap::{Arg, ArgMatches, Command};
 use json_patch::Patch;
 use linkme::distributed_slice;
@@ -90,17 +90,17 @@
     json: JsonValue,
 }
 
-fn check(change: &Value) -> Result<PlannedChange, OperatorProblem> {
+fn check(change: &Value) -> Result<PlannedChange, OperatorError> {
     let json = parse(&change.to_string())?;
-    let read = control_state::read_change(&Look::at(&json, ""))?;
+    let read = control_state::parse_change(&Look::at(&json, ""))?;
     Ok(PlannedChange { id: read.id.map_or(String::new(), |id| id.0), json })
 }
 
-fn patch_problem(error: impl std::error::Error) -> OperatorProblem {
-    OperatorProblem::Patch { reason: error.to_string() }
+fn patch_problem(error: impl std::error::Error) -> OperatorError {
+    OperatorError::Patch { reason: error.to_string() }
 }
 
-fn run(matches: &ArgMatches) -> Result<(), OperatorProblem> {
+fn run(matches: &ArgMatches) -> Result<(), OperatorError> {
     let path = matches.get_one::<String>("file").expect("required");
     let patch: Patch = serde_json::from_str(&read_file(path)?).map_err(patch_problem)?;
     let table = fetch(matches, "lanewing/table")?.stringify().unwrap_or_default();
--- a/crates/lanewing/src/plan/tests.rs
+++ b/crates/lanewing/src/plan/tests.rs
@@ -23,6 +23,6 @@
     assert_eq!(all[1]["delete"]["expect"], 7);
     assert_eq!((&all[2]["row"]["lane"], &all[2]["row"]["expect"]), (&Value::from("c"), &Value::from(0)));
     for c in said {
-        control_state::read_change(&Look::at(&parse(&c).unwrap(), "")).unwrap();
+        control_state::parse_change(&Look::at(&parse(&c).unwrap(), "")).unwrap();
     }
 }
--- a/crates/lanewing/src/rehearsal.rs
+++ b/crates/lanewing/src/rehearsal.rs
@@ -4,8 +4,8 @@
 use clap::{value_parser, Arg, ArgMatches, Command};
 use control_state::Role;
 use linkme::distributed_slice;
-use primitives::{Addr, Look, LookProblem};
-use runtime::env::{Env, EnvProblem};
+use primitives::{Addr, JsonError, Look};
+use runtime::settings::{Env, SettingsError};
 use snafu::{ensure, OptionExt, Snafu};
 use stand_ins::load_client::LoadClientEnv;
 use stand_ins::stub_origin::StubOriginEnv;
@@ -18,13 +18,13 @@
 
 /// Why a stand-in failed.
 #[derive(Debug, Snafu)]
-pub enum RehearsalProblem {
+pub enum RehearsalError {
     /// The settings file is invalid.
     #[snafu(display("{source}"), context(false))]
-    Env { source: EnvProblem },
+    Env { source: SettingsError },
     /// The rehearsal part of the settings file is invalid.
     #[snafu(display("{source}"), context(false))]
-    Mix { source: LookProblem },
+    Mix { source: JsonError },
     /// There is no rehearsal part.
     #[snafu(display("the settings file has no rehearsal part"))]
     NoMix,
@@ -36,7 +36,7 @@
     Violations { count: usize },
 }
 
-type Result<T> = std::result::Result<T, RehearsalProblem>;
+type Result<T> = std::result::Result<T, RehearsalError>;
 
 #[distributed_slice(PLUGINS)]
 static STAND_INS: Plugin = Plugin {
--- a/crates/lanewing/src/role_commands.rs
+++ b/crates/lanewing/src/role_commands.rs
@@ -1,12 +1,12 @@
 //! The plug-in of the roles.
 use crate::args;
 use crate::kernel::{Plugin, PLUGINS};
-use crate::roles::{self, Start, StartProblem};
+use crate::roles::{self, Start, StartError};
 use clap::{value_parser, Arg, ArgAction, ArgMatches, Command};
 use control_state::{Role, Zone};
 use linkme::distributed_slice;
 use primitives::Addr;
-use runtime::env::Env;
+use runtime::settings::Env;
 use std::path::PathBuf;
 
 #[distributed_slice(PLUGINS)]
@@ -20,7 +20,7 @@
     ]
 }
 
-fn run(name: &str, matches: &ArgMatches) -> Result<(), StartProblem> {
+fn run(name: &str, matches: &ArgMatches) -> Result<(), StartError> {
     match name {
         "controller" => roles::controller(start(matches, Role::Controller)?),
         "edge" => roles::edge(start(matches, Role::Edge)?),
@@ -51,7 +51,7 @@
 }
 
 /// Reads the settings and finds this process's place in them; arguments override it.
-fn start(matches: &ArgMatches, role: Role) -> Result<Start, StartProblem> {
+fn start(matches: &ArgMatches, role: Role) -> Result<Start, StartError> {
     let env = Env::load(matches.get_one::<PathBuf>("env").expect("required"))?;
     let mut place = env.place(*matches.get_one("node").expect("required"), role)?;
     place.cohort = matches.get_one("cohort").copied().unwrap_or(place.cohort);
--- a/crates/lanewing/src/roles.rs
+++ b/crates/lanewing/src/roles.rs
@@ -2,13 +2,13 @@
 use crate::http_api;
 use control_state::*;
 use primitives::{Addr, Birth, Span};
-use runtime::env::{role_name, Env, EnvProblem, Limits, Place};
-use runtime::exec::ExecEnv;
-use runtime::front::{self, FrontEnv, Open};
-use runtime::logs::{on_panic, LogRing};
+use runtime::disk_log::{DiskLog, DiskLogError};
+use runtime::executor::ExecutorConfig;
+use runtime::front::{self, FrontConfig, Open};
+use runtime::logs::{on_panic, LogBuffer};
+use runtime::memory_budget::MemoryBudget;
 use runtime::net::{Counts, Net};
-use runtime::ring::{Ring, RingProblem};
-use runtime::room::Room;
+use runtime::settings::{role_name, Env, Limits, Place, SettingsError};
 use runtime::shell::{self, Frame, Handle};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -30,16 +30,16 @@
 
 /// Why a role could not start.
 #[derive(Debug, Snafu)]
-pub enum StartProblem {
+pub enum StartError {
     /// The settings are invalid.
     #[snafu(display("{source}"), context(false))]
-    Env { source: EnvProblem },
+    Env { source: SettingsError },
     /// An address is not free.
     #[snafu(display("cannot listen on {addr}: {source}"))]
     Listen { addr: Addr, source: std::io::Error },
     /// The disk cannot be read or trusted.
     #[snafu(display("disk: {source}"), context(false))]
-    Disk { source: RingProblem },
+    Disk { source: DiskLogError },
     /// A record is intact and unknown.
     #[snafu(display("disk: a record with a good checksum does not decode; another version wrote it"))]
     Undecodable,
@@ -48,7 +48,7 @@
     Signals { source: std::io::Error },
 }
 
-type Result<T> = std::result::Result<T, StartProblem>;
+type Result<T> = std::result::Result<T, StartError>;
 
 /// What a process is started with.
 pub struct Start {
@@ -67,9 +67,9 @@
 }
 
 impl Start {
-    fn follow(&self, birth: Birth) -> FollowEnv {
+    fn follow(&self, birth: Birth) -> FollowerEnv {
         let place = self.place.clone();
-        FollowEnv {
+        FollowerEnv {
             id: place.node,
             role: place.role,
             addr: place.cohort,
@@ -80,7 +80,7 @@
             life: runtime::life(),
             capacity: 1,
             lease: self.env.limits.lease,
-            serve_on: false,
+            serve_without_lease: false,
         }
     }
 
@@ -94,18 +94,18 @@
     }
 
     /// Opens the ring of this node and decodes its records.
-    fn disk<T>(&self, decode: fn(&[u8]) -> Option<T>) -> Result<(Ring, Vec<T>)> {
+    fn disk<T>(&self, decode: fn(&[u8]) -> Option<T>) -> Result<(DiskLog, Vec<T>)> {
         let dir = self.data.join(format!("node-{}", self.place.node));
         let file_size = (self.env.limits.ring_mb << 20) as u64 / RING_FILES as u64;
-        let (ring, records) = Ring::open(&dir, RING_FILES, file_size)?;
+        let (ring, records) = DiskLog::open(&dir, RING_FILES, file_size)?;
         let entries = shell::unpack(records).context(UndecodableSnafu)?;
         let kept = entries.iter().map(|entry| decode(entry)).collect::<Option<Vec<T>>>();
         Ok((ring, kept.context(UndecodableSnafu)?))
     }
 
     /// Runs a part until this process is told to end.
-    fn run(self, part: Box<dyn Part>, first: Vec<Out>, ring: Option<Ring>) -> Result<()> {
-        let logs = LogRing::default();
+    fn run(self, part: Box<dyn Part>, first: Vec<Out>, ring: Option<DiskLog>) -> Result<()> {
+        let logs = LogBuffer::default();
         on_panic(logs.clone());
         let role = role_name(self.place.role);
         let log = logs.logger().new(slog::o!("role" => role, "node" => self.place.node.0));
@@ -114,8 +114,8 @@
         let cohort = bind(self.place.cohort)?;
         let http = bind(self.place.http)?;
         let limits = self.env.limits.clone();
-        let room = Room::new(limits.memory_mb << 20);
-        let (rounds, start_executor) = runtime::exec::rounds(executor_env(&limits, &room));
+        let room = MemoryBudget::new(limits.memory_mb << 20);
+        let (rounds, start_executor) = runtime::executor::rounds(executor_env(&limits, &room));
         let front_env = front_env(&limits, room);
         let frame = Frame { part, first, ring, net, rounds: Some(rounds), log: log.clone() };
         let signals = Signals::new([SIGTERM, SIGINT]).context(SignalsSnafu)?;
@@ -127,7 +127,7 @@
             let open = front::serve(http, front_env, answer);
             if is_edge {
                 start_executor(handle.clone());
-                runtime::exec::probe(handle.clone());
+                runtime::executor::probe(handle.clone());
             }
             leave_on_signal(signals, handle, open, limits, log);
         });
@@ -135,12 +135,12 @@
     }
 }
 
-fn executor_env(limits: &Limits, room: &Arc<Room>) -> ExecEnv {
-    ExecEnv { answer: limits.answer_kb << 10, room: room.clone(), manner: Default::default() }
+fn executor_env(limits: &Limits, room: &Arc<MemoryBudget>) -> ExecutorConfig {
+    ExecutorConfig { answer: limits.answer_kb << 10, room: room.clone(), origin_protocol: Default::default() }
 }
 
-fn front_env(limits: &Limits, room: Arc<Room>) -> FrontEnv {
-    FrontEnv { callers: limits.callers, body: limits.body_kb << 10, room, patience: Default::default() }
+fn front_env(limits: &Limits, room: Arc<MemoryBudget>) -> FrontConfig {
+    FrontConfig { callers: limits.callers, body: limits.body_kb << 10, room, patience: Default::default() }
 }
 
 fn leave_on_signal(mut signals: Signals, handle: Handle, open: Arc<Open>, limits: Limits, log: slog::Logger) {
@@ -148,7 +148,7 @@
         if let Some(signal) = signals.forever().next() {
             info!(log, "leaving"; "signal" => signal);
             leave(&handle, &open, limits.patience, limits.grace);
-            open.shut_idle();
+            open.close_idle();
             handle.stop();
         }
     });
@@ -161,7 +161,7 @@
     let mut idle_polls = 0;
     for _ in 0..longest.as_millis() / LEAVE_POLL.as_millis() {
         let busy = match handle.ask(Ask::Drain, DRAIN_TIMEOUT) {
-            Some(Receipt::Health(health)) => health.in_hand > 0 || health.taking,
+            Some(NodeReply::Health(health)) => health.in_hand > 0 || health.accepting_requests,
             _ => false,
         };
         idle_polls = if busy || open.any() { 0 } else { idle_polls + 1 };
@@ -187,10 +187,10 @@
         cut_at: limits.cut_at,
         window: limits.window,
         vanish: limits.vanish,
-        base_after: limits.ring_mb << 18,
+        compact_after_bytes: limits.ring_mb << 18,
         contact_by_echo: true,
         room: (limits.ring_mb << 20) * 3 / 8,
-        pace: caesar::Pace::default(),
+        pace: caesar::ReplicaConfig::default(),
     };
     let mut first = vec![];
     let part = controller::Controller::start(env, kept, runtime::life(), runtime::now(), &mut first);
@@ -210,7 +210,7 @@
         grace: limits.grace,
         policy: edge::EdgePolicy::default(),
         losses: 1,
-        stock: true,
+        disk_cache: true,
         leave: LEAVE,
         controller: None,
     };
@@ -221,20 +221,20 @@
 pub fn ledger(start: Start) -> Result<()> {
     let (ring, kept) = start.disk(ledger::Kept::decode)?;
     let limits = &start.env.limits;
-    let base_after = limits.ring_mb << 18;
+    let compact_after_bytes = limits.ring_mb << 18;
     let room = limits.ring_mb << 16;
     let env = ledger::LedgerEnv {
         // Its birth is that of its disk.
         follow: start.follow(Birth(0)),
         window: limits.window,
-        base_after,
+        compact_after_bytes,
         room,
         // One file of the ring, less the copies and an eighth to spare.
-        most: base_after - room - base_after / 8,
+        most: compact_after_bytes - room - compact_after_bytes / 8,
         boot: runtime::boot(),
         losses: 1,
         leave: LEAVE,
-        sparing: false,
+        minimal_outcome_copies: false,
     };
     let mut first = vec![];
     let part = ledger::Ledger::start(env, kept, runtime::life(), runtime::now(), &mut first);
--- a/crates/lanewing/src/runbook.rs
+++ b/crates/lanewing/src/runbook.rs
@@ -1,7 +1,7 @@
 //! The plug-in of runbooks.
 use crate::args::{flag, id, operator_command};
 use crate::kernel::{Plugin, PLUGINS};
-use crate::operator::{change_id, controllers, read_file, NoPairSnafu, OperatorProblem};
+use crate::operator::{change_id, controllers, read_file, NoPairSnafu, OperatorError};
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use linkme::distributed_slice;
 use primitives::{parse, Addr, Look};
@@ -16,7 +16,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-type Result<T> = std::result::Result<T, OperatorProblem>;
+type Result<T> = std::result::Result<T, OperatorError>;
 
 #[distributed_slice(PLUGINS)]
 static RUNBOOK: Plugin =
--- a/crates/ledger/src/claims.rs
+++ b/crates/ledger/src/claims.rs
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub(crate) struct KeyClaim {
     pub key: String,
-    pub print: Print,
+    pub print: Fingerprint,
     pub round: RoundId,
     pub roll: Version,
 }
@@ -21,7 +21,7 @@
         self.grants.drop_old(now, self.env.window);
         let KeyClaim { key, print, round, roll } = claim;
         let said = match self.grants.look(&key, print, round) {
-            Claimed::Granted if !self.may_grant(roll) => Claimed::Unable,
+            Claimed::Granted if !self.may_grant(roll) => Claimed::CannotGrant,
             said => said,
         };
         if said == Claimed::Granted && !self.grants.contains(&key) {
@@ -95,7 +95,7 @@
             return;
         }
         self.count("outcomes");
-        self.grants.shed_outcomes(self.outcome_room().saturating_sub(whole.size()));
+        self.grants.evict_outcomes(self.outcome_room().saturating_sub(whole.size()));
         self.save(now, Kept::Outcome { key: key.clone(), round, whole }, out);
         self.note_outcome(&key);
     }
@@ -103,7 +103,7 @@
     /// Bytes of grants and outcomes up to which outcomes are kept: an outcome that may as well be
     /// lost does not take the room of grants.
     pub(crate) fn outcome_room(&self) -> usize {
-        if self.env.sparing {
+        if self.env.minimal_outcome_copies {
             self.env.most / 4 * 3
         } else {
             usize::MAX
--- a/crates/ledger/src/short_form.rs
+++ b/crates/ledger/src/compacted_state.rs
@@ -1,7 +1,7 @@
 //! All that a ledger holds as one record, written without a copy of it in memory.
+use crate::disk_cache::{DiskCache, StoredCopy};
 use crate::grants::{Grant, Grants};
-use crate::stock::{Stock, Stocked};
-use control_state::Shelved;
+use control_state::BoundedCacheEntry;
 use primitives::{Birth, Version};
 use serde::ser::{Serialize, SerializeTupleVariant, Serializer};
 
@@ -12,17 +12,17 @@
 const REST: usize = 256;
 
 /// Encodes as `Kept::Whole` with the same contents does.
-pub(crate) struct ShortForm<'a> {
+pub(crate) struct CompactedState<'a> {
     pub birth: Birth,
     pub open: bool,
     pub fence: Version,
     pub grants: &'a Grants,
-    pub stock: &'a Stock,
+    pub disk_cache: &'a DiskCache,
 }
 
-impl ShortForm<'_> {
+impl CompactedState<'_> {
     pub(crate) fn encode(&self) -> Vec<u8> {
-        let stocked: usize = self.stock.values().map(|s| REST + s.size()).sum();
+        let stocked: usize = self.disk_cache.values().map(|s| REST + s.size()).sum();
         let expected = self.grants.bytes() + self.grants.len() * GRANT + stocked + REST;
         postcard::to_extend(self, Vec::with_capacity(expected)).expect("plain data always encodes")
     }
@@ -37,23 +37,23 @@
     }
 }
 
-struct AllStocked<'a>(&'a Stock);
+struct AllStoredCopies<'a>(&'a DiskCache);
 
-impl Serialize for AllStocked<'_> {
+impl Serialize for AllStoredCopies<'_> {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let all: Vec<&Stocked> = self.0.values().collect();
+        let all: Vec<&StoredCopy> = self.0.values().collect();
         serializer.collect_seq(all)
     }
 }
 
-impl Serialize for ShortForm<'_> {
+impl Serialize for CompactedState<'_> {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let mut record = serializer.serialize_tuple_variant("Kept", WHOLE, "Whole", 5)?;
         record.serialize_field(&self.birth)?;
         record.serialize_field(&self.open)?;
         record.serialize_field(&self.fence)?;
         record.serialize_field(&AllGrants(self.grants))?;
-        record.serialize_field(&AllStocked(self.stock))?;
+        record.serialize_field(&AllStoredCopies(self.disk_cache))?;
         record.end()
     }
 }
--- a/crates/ledger/src/stock.rs
+++ b/crates/ledger/src/disk_cache.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Stocked {
+pub struct StoredCopy {
     pub object: Object,
     pub whole: Whole,
     pub public: bool,
@@ -22,7 +22,7 @@
     pub sure: Era,
 }
 
-impl Shelved for Stocked {
+impl BoundedCacheEntry for StoredCopy {
     fn until(&self) -> Mono {
         self.until
     }
@@ -31,26 +31,34 @@
     }
 }
 
-pub(crate) type Stock = Shelf<Object, Stocked>;
+pub(crate) type DiskCache = BoundedCache<Object, StoredCopy>;
 
 impl Ledger {
     /// An edge has a copy to leave here. The asking's time is this ledger's, so a
     /// word read late makes the copy's life shorter, never longer.
-    pub(crate) fn on_stock_offer(&self, now: Mono, from: Addr, ask: AskId, out: &mut Vec<Out>) {
+    pub(crate) fn on_stock_offer(&self, now: Mono, from: Addr, ask: RequestId, out: &mut Vec<Out>) {
         if self.env.room > 0 && self.follow.leased(now) {
-            out.push(Out::Send(from, Msg::StockWant { ask, at: now }));
+            out.push(Out::Send(from, Msg::DiskCacheWant { ask, at: now }));
         }
     }
 
-    pub(crate) fn on_stock_put(&mut self, now: Mono, at: Mono, p: StockPut, out: &mut Vec<Out>) {
-        let (until, since) = (at + p.shown.left, at - p.shown.aged);
+    pub(crate) fn on_stock_put(&mut self, now: Mono, at: Mono, p: DiskCachePut, out: &mut Vec<Out>) {
+        let (until, since) = (at + p.shown.left, at - p.shown.current_age);
         let fits = self.env.room > 0 && p.shown.whole.size() <= self.env.room / 4;
         if until > now && fits && at <= now {
             self.count("stocked");
-            let Shown { whole, public, .. } = p.shown;
+            let TransferredCopy { whole, public, .. } = p.shown;
             let boot = self.env.boot;
-            let s =
-                Stocked { object: p.object, whole, public, since, until, boot, mark: p.mark, sure: p.sure };
+            let s = StoredCopy {
+                object: p.object,
+                whole,
+                public,
+                since,
+                until,
+                boot,
+                mark: p.mark,
+                sure: p.sure,
+            };
             self.save(now, Kept::Copy(s), out);
         }
     }
@@ -61,29 +69,30 @@
         &mut self,
         now: Mono,
         from: Addr,
-        ask: AskId,
+        ask: RequestId,
         object: Object,
         out: &mut Vec<Out>,
     ) {
-        let held = self.stock.get(now, &object).filter(|s| s.boot == self.env.boot);
-        let same =
-            |s: &&Stocked| mark_holds(s.sure, self.follow.era) && s.mark == mark(&self.follow.items, &object);
+        let held = self.disk_cache.get(now, &object).filter(|s| s.boot == self.env.boot);
+        let same = |s: &&StoredCopy| {
+            is_purge_mark_valid(s.sure, self.follow.era) && s.mark == mark(&self.follow.items, &object)
+        };
         let held = held.filter(|s| self.follow.leased(now) && same(s));
-        let shown = held.map(|s| Shown {
+        let shown = held.map(|s| TransferredCopy {
             whole: s.whole.clone(),
             left: s.until - now,
-            aged: now - s.since,
+            current_age: now - s.since,
             public: s.public,
         });
-        let said = shown.map_or(CopySaid::None, |s| CopySaid::Got(Box::new(s)));
-        self.count(if said != CopySaid::None { "copies given" } else { "copies lacking" });
-        out.push(Out::Send(from, Msg::CopyGot { ask, said, purges: 0 }));
+        let said = shown.map_or(CopyReply::None, |s| CopyReply::Got(Box::new(s)));
+        self.count(if said != CopyReply::None { "copies given" } else { "copies lacking" });
+        out.push(Out::Send(from, Msg::CopyResult { ask, said, purges: 0 }));
     }
 
-    pub(crate) fn mind_stock(&mut self, now: Mono) {
+    pub(crate) fn sweep_disk_cache(&mut self, now: Mono) {
         if now - self.swept >= Span::secs(1) {
             self.swept = now;
-            self.stock.drop_old(now);
+            self.disk_cache.drop_old(now);
         }
     }
 }
--- a/crates/ledger/src/grants.rs
+++ b/crates/ledger/src/grants.rs
@@ -1,6 +1,6 @@
 //! The grants of keys and what of it reaches the disk.
-use crate::stock::Stocked;
-use control_state::{Claimed, Held, Print, RoundId, Whole};
+use crate::disk_cache::StoredCopy;
+use control_state::{Claimed, Fingerprint, Held, RoundId, Whole};
 use primitives::{Birth, Mono, Span, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,7 +13,7 @@
     Open,
     Grant {
         key: String,
-        print: Print,
+        print: Fingerprint,
         round: RoundId,
     },
     Outcome {
@@ -26,12 +26,12 @@
         round: RoundId,
     },
     /// All there is, in place of all records before, as versions without a fence wrote it.
-    Base(Birth, bool, Vec<(String, Print, RoundId, Option<Whole>)>, Vec<Stocked>),
-    Copy(Stocked),
+    Base(Birth, bool, Vec<(String, Fingerprint, RoundId, Option<Whole>)>, Vec<StoredCopy>),
+    Copy(StoredCopy),
     /// Rounds claimed by an earlier version of the roll are granted nothing.
     Fence(Version),
     /// All there is, in place of all records before.
-    Whole(Birth, bool, Version, Vec<(String, Print, RoundId, Option<Whole>)>, Vec<Stocked>),
+    Whole(Birth, bool, Version, Vec<(String, Fingerprint, RoundId, Option<Whole>)>, Vec<StoredCopy>),
 }
 
 impl Kept {
@@ -45,7 +45,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Grant {
-    pub print: Print,
+    pub print: Fingerprint,
     pub round: RoundId,
     pub whole: Option<Whole>,
     /// Invariant: at or after the true time of the grant; after a restart, the
@@ -128,11 +128,11 @@
     }
 
     /// What to say to a claim; `Granted` to a new round must be saved first.
-    pub fn look(&self, key: &str, print: Print, round: RoundId) -> Claimed {
+    pub fn look(&self, key: &str, print: Fingerprint, round: RoundId) -> Claimed {
         let held = self.keys.get(key);
         held.map_or(Claimed::Granted, |g| match (g.round == round, g.print == print) {
             (true, _) => Claimed::Granted,
-            (_, false) => Claimed::OtherBody,
+            (_, false) => Claimed::PayloadMismatch,
             _ => Claimed::Held(g.whole.clone()),
         })
     }
@@ -191,7 +191,7 @@
     }
 
     /// Forgets outcomes, the oldest first, until all comes to no more than that. The grants stay.
-    pub fn shed_outcomes(&mut self, most: usize) {
+    pub fn evict_outcomes(&mut self, most: usize) {
         while self.bytes > most {
             let Some(key) = self.outcomes.first() else { return };
             let grant = self.remove(&key);
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,24 +1,24 @@
 //! The ledger itself: its state, its start, and what each input does.
 use crate::claims::KeyClaim;
+use crate::compacted_state::CompactedState;
+use crate::disk_cache::DiskCache;
 use crate::fill::Fill;
 use crate::grants::*;
 use crate::leave::Leaving;
 use crate::recall::Recall;
 use crate::replicate::Replication;
-use crate::short_form::ShortForm;
-use crate::stock::Stock;
 use control_state::*;
 use primitives::{Birth, Epoch, Mono, NodeId, Span, Version};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
 pub struct LedgerEnv {
-    pub follow: FollowEnv,
+    pub follow: FollowerEnv,
     /// How long a key stays with its round: the brief's minute, and over it the
     /// time a granted round may take to leave and to run.
     pub window: Span,
     /// Bytes of records after which all is written anew in short.
-    pub base_after: usize,
+    pub compact_after_bytes: usize,
     /// Bytes of copies kept, none if nought; with all keys they must fit one file of
     /// the ring.
     pub room: usize,
@@ -33,7 +33,7 @@
     pub leave: Span,
     /// Outcomes stay where they were given: a key is known at all of its ledgers, its
     /// outcome at one more than disks may be lost at once.
-    pub sparing: bool,
+    pub minimal_outcome_copies: bool,
 }
 
 /// How often what is over is looked for.
@@ -43,9 +43,9 @@
 #[derive(Clone, Debug)]
 pub struct Ledger {
     pub(crate) env: LedgerEnv,
-    pub(crate) follow: Follow,
+    pub(crate) follow: Follower,
     pub(crate) grants: Grants,
-    pub(crate) stock: Stock,
+    pub(crate) disk_cache: DiskCache,
     pub(crate) swept: Mono,
     /// Invariant: true only if this disk has missed no grant that still counts.
     pub(crate) open: bool,
@@ -65,7 +65,7 @@
     /// Starts on what the disk holds; `life` is a fresh random number.
     pub fn start(mut env: LedgerEnv, kept: Vec<Kept>, life: u64, now: Mono, out: &mut Vec<Out>) -> Ledger {
         let mut grants = Grants::default();
-        let mut stock = Stock::new(env.room);
+        let mut disk_cache = DiskCache::new(env.room);
         let mut birth = None;
         let mut open = false;
         let mut fence = Version(0);
@@ -78,17 +78,17 @@
                     if let Kept::Whole(_, _, roll, ..) = &k {
                         fence = *roll;
                     }
-                    stock.clear();
-                    copies.iter().for_each(|s| stock.put(s.object.clone(), s.clone()));
+                    disk_cache.clear();
+                    copies.iter().for_each(|s| disk_cache.put(s.object.clone(), s.clone()));
                 }
                 Kept::Fence(roll) => fence = fence.max(*roll),
-                Kept::Copy(s) => stock.put(s.object.clone(), s.clone()),
+                Kept::Copy(s) => disk_cache.put(s.object.clone(), s.clone()),
                 _ => (),
             }
             grants.apply(k, now);
         }
         // Another boot's clock says nothing here.
-        stock.drop_where(|_, s| s.boot != env.boot || s.until <= now);
+        disk_cache.drop_where(|_, s| s.boot != env.boot || s.until <= now);
         let new = birth.is_none();
         env.follow.birth = birth.unwrap_or(Birth(life));
         if new {
@@ -96,10 +96,10 @@
             out.push(Out::Note("the disk is new"));
         }
         let mut ledger = Ledger {
-            follow: Follow::new(env.follow.clone()),
+            follow: Follower::new(env.follow.clone()),
             env,
             grants,
-            stock,
+            disk_cache,
             swept: now,
             open,
             fence,
@@ -113,7 +113,7 @@
             counts: BTreeMap::new(),
         };
         // What was forgotten for room since the last short form is in its records yet.
-        ledger.grants.shed_outcomes(ledger.outcome_room());
+        ledger.grants.evict_outcomes(ledger.outcome_room());
         ledger
     }
 
@@ -126,7 +126,7 @@
         self.written += b.len();
         out.push(Out::Save(b));
         if let Kept::Copy(s) = &k {
-            self.stock.put(s.object.clone(), s.clone());
+            self.disk_cache.put(s.object.clone(), s.clone());
         }
         self.grants.apply(k, now);
     }
@@ -140,7 +140,7 @@
         let mut counts: Vec<_> = self.counts.iter().map(|(k, v)| (*k, *v)).collect();
         counts.push(("keys", self.grants.len() as u64));
         counts.push(("key bytes", self.grants.bytes() as u64));
-        counts.push(("copies", self.stock.len() as u64));
+        counts.push(("copies", self.disk_cache.len() as u64));
         let in_hand = self.leaving.left() as u64;
         Health { ready: why.is_empty(), why, in_hand, counts, ..Health::default() }
     }
@@ -154,16 +154,17 @@
             self.grants.drop_old(now, self.env.window);
             self.replicate(now, out);
         }
-        if self.written > self.env.base_after {
+        if self.written > self.env.compact_after_bytes {
             self.written = 0;
             let (birth, open, fence) = (self.follow.env.birth, self.open, self.fence);
-            let short = ShortForm { birth, open, fence, grants: &self.grants, stock: &self.stock };
+            let short =
+                CompactedState { birth, open, fence, grants: &self.grants, disk_cache: &self.disk_cache };
             out.push(Out::Base(short.encode()));
         }
         self.mend(now, out);
         self.recall(now, out);
         self.hand_over(now, out);
-        self.mind_stock(now);
+        self.sweep_disk_cache(now);
     }
 
     pub fn id(&self) -> NodeId {
@@ -186,9 +187,9 @@
                 if matches!(ask, Ask::Drain) {
                     self.begin_to_leave(now, out);
                 }
-                out.push(Out::Tell(t, Receipt::Health(self.health(now))));
+                out.push(Out::Tell(t, NodeReply::Health(self.health(now))));
             }
-            In::Ask(t, _) => out.push(Out::Tell(t, Receipt::NotNow("not asked of a ledger"))),
+            In::Ask(t, _) => out.push(Out::Tell(t, NodeReply::Unavailable("not asked of a ledger"))),
             In::Msg(from, m) => match m {
                 Msg::Update(n) => {
                     self.follow.on_update(now, from, &n, out);
@@ -201,9 +202,9 @@
                 Msg::Outcome { key, print, round, whole } => {
                     self.on_outcome(now, from, Kept::Grant { key, print, round }, whole, out)
                 }
-                Msg::StockOffer(ask) => self.on_stock_offer(now, from, ask, out),
-                Msg::StockPut(at, p) => self.on_stock_put(now, at, *p, out),
-                Msg::CopyAsk { ask, object, .. } => self.on_copy_ask(now, from, ask, object, out),
+                Msg::DiskCacheOffer(ask) => self.on_stock_offer(now, from, ask, out),
+                Msg::DiskCachePut(at, p) => self.on_stock_put(now, at, *p, out),
+                Msg::CopyQuery { ask, object, .. } => self.on_copy_ask(now, from, ask, object, out),
                 Msg::Digests(d) => self.on_digests(now, from, d, out),
                 Msg::Ranges(r) => self.on_ranges(now, r, out),
                 Msg::Recall { ask, roll, purpose } => self.on_recall(now, from, ask, (roll, purpose), out),
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,15 +1,15 @@
 //! The ledger, a pure part: grants each key to one round and keeps its outcome.
 mod claims;
+mod compacted_state;
+mod disk_cache;
 mod fill;
 mod grants;
 mod leave;
 mod ledger;
-mod mend;
 mod recall;
+mod repair;
 mod replicate;
-mod short_form;
-mod stock;
 
+pub use disk_cache::StoredCopy;
 pub use grants::Kept;
 pub use ledger::{Ledger, LedgerEnv};
-pub use stock::Stocked;
--- a/crates/ledger/src/recall.rs
+++ b/crates/ledger/src/recall.rs
@@ -38,7 +38,7 @@
 impl Recall {
     /// `life` keeps the numbers apart from those of an earlier process.
     pub fn new(life: u64) -> Recall {
-        let task = (Version(0), RecallPurpose::Reopen);
+        let task = (Version(0), RecallPurpose::AfterDiskLoss);
         Recall { task, seats: BTreeMap::new(), next: life << 20, released: BTreeSet::new() }
     }
 
@@ -70,7 +70,7 @@
         let mine = |s: &&Seat| s.addr == me.addr;
         let clean = roll.seats().any(|s| mine(&s))
             && roll.seats().filter(mine).all(|s| (s.id, s.birth) == (me.id, me.birth));
-        let waited = self.follow.myself().is_some() && now - self.boot >= self.env.window.padded();
+        let waited = self.follow.own_node().is_some() && now - self.boot >= self.env.window.padded();
         let recalled = self.may_reopen(now) && self.unheard() <= self.bearable();
         if clean || waited || recalled {
             self.open = true;
@@ -86,7 +86,7 @@
     /// beside this one.
     fn bearable(&self) -> usize {
         let me = self.follow.env.addr;
-        let decides = Roll::of(&self.follow.items).deciding().iter().any(|s| s.addr == me);
+        let decides = Roll::of(&self.follow.items).authoritative_set().iter().any(|s| s.addr == me);
         self.env.losses - decides as usize
     }
 
@@ -98,8 +98,8 @@
         let seated = |r: &Roll| r.seats().any(|s| (s.id, s.addr) == (me.id, me.addr));
         self.env.losses > 0
             && now - self.boot >= self.env.leave.padded()
-            && self.follow.in_touch_until() > now
-            && self.recall.task == (self.roll_version(), RecallPurpose::Reopen)
+            && self.follow.lease_quorum_until() > now
+            && self.recall.task == (self.roll_version(), RecallPurpose::AfterDiskLoss)
             && seated(&Roll::of(&self.follow.items))
     }
 
@@ -112,7 +112,7 @@
     fn sources(&self) -> BTreeSet<Addr> {
         let me = self.follow.env.addr;
         let roll = Roll::of(&self.follow.items);
-        roll.deciding().iter().map(|s| s.addr).filter(|a| *a != me).collect()
+        roll.authoritative_set().iter().map(|s| s.addr).filter(|a| *a != me).collect()
     }
 
     pub(crate) fn unheard(&self) -> usize {
@@ -125,7 +125,7 @@
         if self.open && !filling {
             return;
         }
-        let purpose = if filling { RecallPurpose::Fill } else { RecallPurpose::Reopen };
+        let purpose = if filling { RecallPurpose::Fill } else { RecallPurpose::AfterDiskLoss };
         self.recall.begin((self.roll_version(), purpose));
         if filling || self.may_reopen(now) {
             self.ask_seats(now, out);
--- a/crates/ledger/src/mend.rs
+++ b/crates/ledger/src/repair.rs
@@ -41,7 +41,7 @@
         let roll = Roll::of(&self.follow.items);
         let me = self.follow.env.addr;
         // Where outcomes stay where they are, they do not tell when a grant is made.
-        let known = |g: &Grant| g.whole.is_some() && !self.env.sparing;
+        let known = |g: &Grant| g.whole.is_some() && !self.env.minimal_outcome_copies;
         let settled = move |g: &Grant| known(g) || (now - g.at > Span::secs(8) && g.round != RoundId::NONE);
         let named = move |k: &String| roll.named(k, self.env.losses);
         let all = self.grants.iter().filter(move |(_, g)| settled(g));
@@ -55,7 +55,7 @@
     }
 
     fn digest(&self, key: &str, g: &Grant) -> u64 {
-        primitives::hash(&(key, g.round, g.whole.is_some() && !self.env.sparing))
+        primitives::hash(&(key, g.round, g.whole.is_some() && !self.env.minimal_outcome_copies))
     }
 
     /// What is compared with another ledger, by range, in one pass over the keys.
@@ -96,7 +96,7 @@
     /// A record as other ledgers are to see it.
     pub(crate) fn show(&self, now: Mono, key: &str, g: &Grant) -> Held {
         let h = g.show(now, key);
-        if self.env.sparing {
+        if self.env.minimal_outcome_copies {
             Held { whole: None, ..h }
         } else {
             h
--- a/crates/ledger/src/replicate.rs
+++ b/crates/ledger/src/replicate.rs
@@ -46,23 +46,24 @@
 impl Ledger {
     /// Several times a second.
     pub(crate) fn replicate(&mut self, now: Mono, out: &mut Vec<Out>) {
-        if !self.env.sparing || self.follow.in_touch_until() <= now {
+        if !self.env.minimal_outcome_copies || self.follow.lease_quorum_until() <= now {
             return;
         }
-        let living = living_ledgers(&self.follow.items);
+        let living = current_ledgers(&self.follow.items);
         if living != self.replication.living {
             self.replication.living = living;
-            let all = self.grants.iter().filter(|(_, g)| g.whole.as_ref().is_some_and(|w| self.hands_on(w)));
+            let all =
+                self.grants.iter().filter(|(_, g)| g.whole.as_ref().is_some_and(|w| self.must_replicate(w)));
             self.replication.short = all.map(|(key, _)| key.clone()).collect();
         }
         self.replication.transfers.retain(|_, t| now - t.sent < AGAIN);
-        self.send_short(now, out);
+        self.send_under_replicated(now, out);
     }
 
     /// A new outcome is here: its sender may not have known of the last loss.
     pub(crate) fn note_outcome(&mut self, key: &str) {
         let whole = self.grants.get(key).and_then(|g| g.whole.as_ref());
-        if whole.is_some_and(|w| self.hands_on(w)) {
+        if whole.is_some_and(|w| self.must_replicate(w)) {
             self.replication.short.insert(key.to_string());
         } else {
             self.replication.short.remove(key);
@@ -70,7 +71,7 @@
     }
 
     /// Too few disks hold it, and this one is the first of them.
-    fn hands_on(&self, whole: &Whole) -> bool {
+    fn must_replicate(&self, whole: &Whole) -> bool {
         let alive = self.replication.alive(whole);
         alive.len() <= self.env.losses && alive.first().is_some_and(|h| h.addr == self.follow.env.addr)
     }
@@ -90,7 +91,7 @@
         next.map(|(addr, birth)| Holder { addr: *addr, birth: *birth })
     }
 
-    fn send_short(&mut self, now: Mono, out: &mut Vec<Out>) {
+    fn send_under_replicated(&mut self, now: Mono, out: &mut Vec<Out>) {
         let roll = Roll::of(&self.follow.items);
         let mut by_ledger: BTreeMap<Holder, Vec<Held>> = BTreeMap::new();
         for key in &self.replication.short {
@@ -100,7 +101,7 @@
             let Some(next) = self.next_holder(key, &roll, &holders) else { continue };
             if !self.replication.transfers.contains_key(&next.addr) {
                 holders.push(next);
-                let whole = Some(whole.held_by(&holders));
+                let whole = Some(whole.with_holders(&holders));
                 by_ledger.entry(next).or_default().push(Held { whole, ..g.show(now, key) });
             }
         }
@@ -126,10 +127,10 @@
             let (Some(whole), round) = (&g.whole, g.round) else { continue };
             let mut holders = self.replication.alive(whole);
             holders.push(transfer.to);
-            let whole = whole.held_by(&holders);
+            let whole = whole.with_holders(&holders);
             self.save(now, Kept::Outcome { key: key.clone(), round, whole }, out);
             self.note_outcome(&key);
         }
-        self.send_short(now, out);
+        self.send_under_replicated(now, out);
     }
 }
--- a/crates/machine/src/leave.rs
+++ b/crates/machine/src/leave.rs
@@ -17,14 +17,16 @@
 
 /// How far a part is with its leaving.
 struct Progress {
-    taking: bool,
+    accepting_requests: bool,
     busy: bool,
 }
 
 fn drain(part: &Handle) -> Progress {
     match part.ask(Ask::Drain, Duration::from_secs(1)) {
-        Some(Receipt::Health(x)) => Progress { taking: x.taking, busy: x.in_hand > 0 },
-        _ => Progress { taking: false, busy: false },
+        Some(NodeReply::Health(x)) => {
+            Progress { accepting_requests: x.accepting_requests, busy: x.in_hand > 0 }
+        }
+        _ => Progress { accepting_requests: false, busy: false },
     }
 }
 
@@ -40,7 +42,7 @@
     let until = runtime::now() + Span(grace.0.saturating_sub(BACK.0));
     callers.into_iter().for_each(|d| d.leave());
     let both = || (drain(controller), drain(edge));
-    while both().1.taking && runtime::now() < until {
+    while both().1.accepting_requests && runtime::now() < until {
         thread::sleep(LOOK);
     }
     callers.into_iter().for_each(|d| d.shut());
--- a/crates/machine/src/lib.rs
+++ b/crates/machine/src/lib.rs
@@ -8,7 +8,7 @@
 mod run;
 mod slow_calls;
 
-pub use run::{run, Fronts, StartProblem};
+pub use run::{run, HttpHandlers, StartError};
 
 use control_state::Zone;
 use primitives::{Addr, NodeId, Span};
@@ -17,7 +17,7 @@
 
 /// What the process is told of its place and of what it must keep to.
 #[derive(Clone, Debug)]
-pub struct MachineEnv {
+pub struct MachineConfig {
     pub ip: IpAddr,
     /// The first of the ports that are free for the parts' own links; three are used.
     pub port: u16,
@@ -78,7 +78,7 @@
     }
 }
 
-impl MachineEnv {
+impl MachineConfig {
     pub(crate) fn addr(&self, s: Seat) -> Addr {
         Addr(SocketAddr::new(self.ip, self.port + s as u16))
     }
--- a/crates/machine/src/memory_watch.rs
+++ b/crates/machine/src/memory_watch.rs
@@ -1,6 +1,6 @@
 //! Hands freed memory back, and says in the log what holds the memory of a process that comes
 //! near its limit all the same.
-use control_state::{Ask, Receipt};
+use control_state::{Ask, NodeReply};
 use runtime::process::{release_freed_memory, resident_bytes};
 use runtime::shell::Handle;
 use slog::Logger;
@@ -47,7 +47,7 @@
 
 fn figures(part: &Handle) -> String {
     match part.ask(Ask::Ready, ANSWER) {
-        Some(Receipt::Health(health)) => {
+        Some(NodeReply::Health(health)) => {
             let some = health.counts.iter().filter(|(_, n)| *n > 0);
             let told: Vec<String> = some.map(|(name, n)| format!("{name}={n}")).collect();
             format!("in hand={} {}", health.in_hand, told.join(" "))
--- a/crates/machine/src/metrics.rs
+++ b/crates/machine/src/metrics.rs
@@ -1,7 +1,7 @@
 //! The listener at which a process tells its figures.
 use prometheus_client::registry::Registry;
-use runtime::door::{self, Limits};
 use runtime::front::Reply;
+use runtime::http_server::{self, Limits};
 use runtime::metrics;
 use runtime::shell::Handle;
 use std::net::TcpListener;
@@ -17,7 +17,7 @@
     parts: Vec<(&'static str, Handle)>,
 ) {
     metrics::register_parts(&mut registry, parts);
-    door::open(listener, Arc::new(limits), move |visit| match visit.target.as_str() {
+    http_server::open(listener, Arc::new(limits), move |visit| match visit.target.as_str() {
         PATH => metrics::page(&registry),
         _ => Reply::problem(404, "not found", "only the figures are told here"),
     });
--- a/crates/machine/src/parts.rs
+++ b/crates/machine/src/parts.rs
@@ -1,5 +1,5 @@
 //! The parts of one machine, with figures that follow from what it was told.
-use crate::{MachineEnv, Seat};
+use crate::{MachineConfig, Seat};
 use control_state::*;
 use controller::{ControllerEnv, Open};
 use edge::{EdgeEnv, EdgePolicy};
@@ -24,10 +24,10 @@
 const EARLIER_CONTROLLER_FILE: u64 = 2;
 const LEDGER_FILE: u64 = 6;
 
-impl MachineEnv {
-    fn follow(&self, s: Seat, role: Role, birth: u64, life: u64) -> FollowEnv {
+impl MachineConfig {
+    fn follow(&self, s: Seat, role: Role, birth: u64, life: u64) -> FollowerEnv {
         let addr = self.addr(s);
-        FollowEnv {
+        FollowerEnv {
             id: self.id(s),
             role,
             addr,
@@ -38,7 +38,7 @@
             life,
             lease: LEASE,
             capacity: self.capacity(),
-            serve_on: true,
+            serve_without_lease: true,
         }
     }
 
@@ -48,25 +48,25 @@
             follow: self.follow(Seat::Edge, Role::Edge, life, life),
             fresh: self.beat.times(3),
             patience: Span::secs(30),
-            copies: self.copies_memory(),
+            copies: self.cache_memory(),
             hands: (1024, 2048),
             grace: Span(self.grace.0 * 2 / 5),
             policy: EdgePolicy {
                 // Well below what is allowed, for edges cannot see one another's tries.
-                earn: ratio * 0.6,
+                retry_credit_per_request: ratio * 0.6,
                 saved: allowance * 0.5,
                 near: true,
-                by_load: true,
+                load_balanced: true,
                 // In one zone; the region's home is asked in place of one that takes longer.
                 home: Span::ms(100),
                 // Longer than a turn of a small processor that is busy: an origin pays for it.
-                far_home: Span::ms(400),
+                wide_home_timeout: Span::ms(400),
                 back: Some(Span::ms(120)),
-                back_unready: Span::secs(1),
-                far_body: FAR_BODY,
+                retry_after_no_lease: Span::secs(1),
+                cross_region_body_limit: FAR_BODY,
             },
             losses: self.losses,
-            stock: false,
+            disk_cache: false,
             leave: LEAVE,
             controller: Some(self.addr(Seat::Controller)),
         })
@@ -90,10 +90,10 @@
             cut_at: 256,
             window: self.window + LATE,
             vanish: self.beat.times(4),
-            base_after: (file * 3 / 4) as usize,
+            compact_after_bytes: (file * 3 / 4) as usize,
             room: self.controller_room(),
             contact_by_echo: true,
-            pace: caesar::Pace::default(),
+            pace: caesar::ReplicaConfig::default(),
         };
         controller::Controller::start(env, kept, runtime::life(), now, out)
     }
@@ -102,13 +102,13 @@
         let env = LedgerEnv {
             follow: self.follow(Seat::Ledger, Role::Ledger, 0, runtime::life()),
             window: self.window + LATE,
-            base_after: self.ledger_most(),
+            compact_after_bytes: self.ledger_state_limit(),
             room: 0,
-            most: self.ledger_most(),
+            most: self.ledger_state_limit(),
             boot: runtime::boot(),
             losses: self.losses,
             leave: LEAVE,
-            sparing: true,
+            minimal_outcome_copies: true,
         };
         ledger::Ledger::start(env, kept, runtime::life(), now, out)
     }
@@ -121,7 +121,7 @@
     pub(crate) fn controller_file(&self) -> u64 {
         let earlier = self.file(EARLIER_CONTROLLER_FILE);
         let folder = self.disk.as_ref().map(|(at, _)| at.join("controller"));
-        let is = folder.and_then(|f| runtime::ring::existing_size(&f));
+        let is = folder.and_then(|f| runtime::disk_log::existing_size(&f));
         if is == Some(earlier) {
             earlier
         } else {
@@ -134,7 +134,7 @@
     }
 
     /// Bytes of grants and outcomes that the ledger may hold.
-    pub(crate) fn ledger_most(&self) -> usize {
+    pub(crate) fn ledger_state_limit(&self) -> usize {
         self.ledger_file() as usize * 3 / 4
     }
 
--- a/crates/machine/src/run.rs
+++ b/crates/machine/src/run.rs
@@ -3,16 +3,16 @@
 use crate::memory_watch;
 use crate::metrics;
 use crate::slow_calls::SlowCalls;
-use crate::{MachineEnv, Seat};
+use crate::{MachineConfig, Seat};
 use control_state::*;
 use primitives::{Addr, Mono, Span};
-use runtime::door::{self, Door, Extras, Limits, Visit};
-use runtime::exec::{ExecEnv, Manner};
+use runtime::disk_log::{DiskLog, DiskLogError};
+use runtime::executor::{ExecutorConfig, OriginProtocol};
 use runtime::front::Reply;
-use runtime::logs::{on_panic, LogRing};
+use runtime::http_server::{self, HttpRequest, HttpServer, Limits, ServerOptions};
+use runtime::logs::{on_panic, LogBuffer};
+use runtime::memory_budget::MemoryBudget;
 use runtime::net::{Counts, LinkMetrics, Net};
-use runtime::ring::{Ring, RingProblem};
-use runtime::room::Room;
 use runtime::shell::{self, Frame, Handle};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -24,11 +24,11 @@
 use std::thread;
 
 #[derive(Debug, Snafu)]
-pub enum StartProblem {
+pub enum StartError {
     #[snafu(display("cannot listen on {addr}: {source}"))]
     Listen { addr: SocketAddr, source: std::io::Error },
     #[snafu(display("disk: {source}"), context(false))]
-    Disk { source: RingProblem },
+    Disk { source: DiskLogError },
     #[snafu(display("disk: {has} MB are too few, at least {need} are needed"))]
     Small { has: u64, need: u64 },
     #[snafu(display("disk: a record with a good checksum does not decode; another version wrote it"))]
@@ -39,18 +39,18 @@
     Signals { source: std::io::Error },
 }
 
-type Result<T> = std::result::Result<T, StartProblem>;
-type Answer = dyn Fn(&Handle, Visit) -> Reply + Send + Sync;
+type Result<T> = std::result::Result<T, StartError>;
+type Answer = dyn Fn(&Handle, HttpRequest) -> Reply + Send + Sync;
 
 /// How a deployment speaks: what comes in becomes the edge's questions, and its
 /// receipts become answers.
 #[derive(Clone)]
-pub struct Fronts {
+pub struct HttpHandlers {
     pub callers: Arc<Answer>,
     pub ready: Arc<Answer>,
     pub control: Arc<Answer>,
     /// How origins are spoken to.
-    pub manner: Manner,
+    pub origin_protocol: OriginProtocol,
     /// What callers may send; asked for each request.
     pub limits: Arc<dyn Fn(&Handle) -> Limits + Send + Sync>,
 }
@@ -62,16 +62,16 @@
     TcpListener::bind(a).context(ListenSnafu { addr: a })
 }
 
-fn disk<K>(dir: std::path::PathBuf, size: u64, decode: fn(&[u8]) -> Option<K>) -> Result<(Ring, Vec<K>)> {
-    let (ring, recs) = Ring::open(&dir, 4, size)?;
+fn disk<K>(dir: std::path::PathBuf, size: u64, decode: fn(&[u8]) -> Option<K>) -> Result<(DiskLog, Vec<K>)> {
+    let (ring, recs) = DiskLog::open(&dir, 4, size)?;
     let all = shell::unpack(recs).and_then(|e| e.iter().map(|b| decode(b)).collect());
-    all.map(|k| (ring, k)).ok_or(StartProblem::Undecodable)
+    all.map(|k| (ring, k)).ok_or(StartError::Undecodable)
 }
 
 struct Start {
     part: Box<dyn Part>,
     first: Vec<Out>,
-    ring: Option<Ring>,
+    ring: Option<DiskLog>,
     seat: Seat,
     rounds: Option<std::sync::mpsc::Sender<Round>>,
 }
@@ -79,7 +79,7 @@
 impl Start {
     fn run(
         self,
-        env: &MachineEnv,
+        env: &MachineConfig,
         links: &LinkMetrics,
         log: &Logger,
         front: impl FnOnce(Handle),
@@ -95,7 +95,7 @@
     }
 
     /// On a thread of its own; it ends with the process. The handle comes once it runs.
-    fn spawn(self, env: &MachineEnv, links: &LinkMetrics, log: &Logger) -> Result<Receiver<Handle>> {
+    fn spawn(self, env: &MachineConfig, links: &LinkMetrics, log: &Logger) -> Result<Receiver<Handle>> {
         let (env, links, log) = (env.clone(), links.clone(), log.clone());
         let (running, handle) = channel();
         let name = self.seat.name().to_string();
@@ -110,7 +110,7 @@
     }
 }
 
-fn controller(env: &MachineEnv) -> Result<Start> {
+fn controller(env: &MachineConfig) -> Result<Start> {
     let (ring, kept) = match env.keeps() {
         Some((dir, _)) => {
             let (r, k) = disk(dir.join("controller"), env.controller_file(), controller::Kept::decode)?;
@@ -123,7 +123,7 @@
     Ok(Start { part, first, ring, seat: Seat::Controller, rounds: None })
 }
 
-fn ledger(env: &MachineEnv, dir: &std::path::Path) -> Result<Start> {
+fn ledger(env: &MachineConfig, dir: &std::path::Path) -> Result<Start> {
     let (ring, kept) = disk(dir.join("ledger"), env.ledger_file(), ledger::Kept::decode)?;
     let mut first = vec![];
     let part = Box::new(env.ledger(kept, runtime::now(), &mut first));
@@ -131,13 +131,13 @@
 }
 
 /// Runs until told to stop.
-pub fn run(env: MachineEnv, fronts: Fronts) -> Result<()> {
+pub fn run(env: MachineConfig, fronts: HttpHandlers) -> Result<()> {
     if let Some((_, has)) = env.keeps().filter(|(_, mb)| *mb < LEAST) {
         return SmallSnafu { has: *has, need: LEAST }.fail();
     }
     // Before anything is begun, so that a word to stop is never lost.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).context(SignalsSnafu)?;
-    let logs = LogRing::default();
+    let logs = LogBuffer::default();
     on_panic(logs.clone());
     let log = logs.logger();
     let links = LinkMetrics::default();
@@ -148,10 +148,10 @@
         Some((dir, _)) => Some(ledger(&env, dir)?.spawn(&env, &links, &log)?),
         None => None,
     };
-    let room = Room::new(env.answers_memory());
-    let bodies = Room::new(env.bodies_memory());
-    let exec = ExecEnv { answer: 64 << 20, room, manner: fronts.manner.clone() };
-    let (tx, start) = runtime::exec::rounds(exec);
+    let room = MemoryBudget::new(env.answers_memory());
+    let bodies = MemoryBudget::new(env.bodies_memory());
+    let exec = ExecutorConfig { answer: 64 << 20, room, origin_protocol: fronts.origin_protocol.clone() };
+    let (tx, start) = runtime::executor::rounds(exec);
     let listen = |a: Option<SocketAddr>| a.map(bind).transpose();
     let (front, ready, control) = (listen(env.front)?, listen(env.ready)?, listen(env.control)?);
     let figures = listen(env.metrics)?;
@@ -163,21 +163,21 @@
         start(h.clone());
         let serve = |l: Option<TcpListener>, f: &Arc<Answer>, lim: Arc<dyn Fn() -> Limits + Send + Sync>| {
             let (h, f) = (h.clone(), f.clone());
-            l.map(|l| door::open(l, lim, move |v| f(&h, v)))
+            l.map(|l| http_server::open(l, lim, move |v| f(&h, v)))
         };
         let slow_calls = SlowCalls::new(log.clone());
         let watch = Arc::new(move |exchange| slow_calls.note(runtime::now(), &exchange));
         let (hl, lf) = (h.clone(), fronts.limits.clone());
         let (caller_handle, answer_caller) = (h.clone(), fronts.callers.clone());
         let serve_caller = move |visit| answer_caller(&caller_handle, visit);
-        let extras = Extras { bodies: Some(bodies), ..Extras::default() };
+        let extras = ServerOptions { bodies: Some(bodies), ..ServerOptions::default() };
         let caller_limits = now_and_then(move || lf(&hl));
-        let callers = front.map(|l| door::open_with(l, caller_limits, serve_caller, extras));
+        let callers = front.map(|l| http_server::open_with(l, caller_limits, serve_caller, extras));
         let _ready = serve(ready, &fronts.ready, Arc::new(inner));
         let (control_handle, answer) = (h.clone(), fronts.control.clone());
         let serve_control = move |visit| answer(&control_handle, visit);
-        let watched = Extras { watch: Some(watch), ..Extras::default() };
-        let _control = control.map(|l| door::open_with(l, Arc::new(inner), serve_control, watched));
+        let watched = ServerOptions { watch: Some(watch), ..ServerOptions::default() };
+        let _control = control.map(|l| http_server::open_with(l, Arc::new(inner), serve_control, watched));
         thread::spawn(move || {
             let Ok(controller) = controller.recv() else { return h.stop() };
             let ledger = ledger.and_then(|l| l.recv().ok());
@@ -223,4 +223,4 @@
 }
 
 /// Keeps doors apart from what is behind them.
-pub(crate) type Callers<'a> = Option<&'a Door>;
+pub(crate) type Callers<'a> = Option<&'a HttpServer>;
--- a/crates/machine/src/slow_calls.rs
+++ b/crates/machine/src/slow_calls.rs
@@ -1,7 +1,7 @@
 //! Log lines for control calls that were slow or not answered whole, not too many of them.
 use control_state::SLOW_CALL;
 use primitives::{Mono, Span};
-use runtime::door::Exchange;
+use runtime::http_server::Exchange;
 use slog::Logger;
 use std::sync::Mutex;
 
--- a/crates/primitives/src/answer_time.rs
+++ b/crates/primitives/src/answer_time.rs
@@ -10,12 +10,12 @@
 
 /// Of one kind of question.
 #[derive(Copy, Clone, Debug, Default)]
-pub struct AnswerTime {
+pub struct ResponseTimeEstimator {
     mean: Option<f64>,
     deviation: f64,
 }
 
-impl AnswerTime {
+impl ResponseTimeEstimator {
     /// An answer took so long.
     pub fn note(&mut self, took: Span) {
         let took = took.0 as f64;
--- a/crates/primitives/src/look.rs
+++ b/crates/primitives/src/look.rs
@@ -11,10 +11,10 @@
 
 /// Why a JSON text was refused.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-pub enum LookProblem {
+pub enum JsonError {
     /// The text is not JSON.
     #[snafu(display("not JSON: {reason}"))]
-    NotJson {
+    InvalidJson {
         /// The parser's message.
         reason: String,
     },
@@ -62,11 +62,11 @@
     Twice,
 }
 
-type Result<T> = std::result::Result<T, LookProblem>;
+type Result<T> = std::result::Result<T, JsonError>;
 
 /// Parses a JSON text.
 pub fn parse(text: &str) -> Result<JsonValue> {
-    text.parse().map_err(|error: JsonParseError| LookProblem::NotJson { reason: error.to_string() })
+    text.parse().map_err(|error: JsonParseError| JsonError::InvalidJson { reason: error.to_string() })
 }
 
 /// A JSON value together with its place in the document.
@@ -86,7 +86,7 @@
 
     /// An error about this value.
     pub fn bad<T>(&self, reason: Reason) -> Result<T> {
-        Err(LookProblem::Field { place: self.place.clone(), reason })
+        Err(JsonError::Field { place: self.place.clone(), reason })
     }
 
     fn not<T>(&self, what: &'static str) -> Result<T> {
--- a/crates/primitives/src/metrics.rs
+++ b/crates/primitives/src/metrics.rs
@@ -8,13 +8,13 @@
 const BUCKETS: u16 = 13;
 
 /// Histograms of waits in seconds, by label.
-pub type WaitFamily<L> = Family<L, Histogram, fn() -> Histogram>;
+pub type WaitHistograms<L> = Family<L, Histogram, fn() -> Histogram>;
 
 fn wait_histogram() -> Histogram {
     Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, BUCKET_FACTOR, BUCKETS))
 }
 
 /// An empty family of histograms of waits.
-pub fn wait_family<L: Clone + std::hash::Hash + Eq>() -> WaitFamily<L> {
+pub fn wait_histograms<L: Clone + std::hash::Hash + Eq>() -> WaitHistograms<L> {
     Family::new_with_constructor(wait_histogram)
 }
--- a/crates/runbooks/src/lib.rs
+++ b/crates/runbooks/src/lib.rs
@@ -8,7 +8,7 @@
 mod runbook;
 
 pub use page::page;
-pub use run::{run, Environment, RunProblem};
+pub use run::{run, Environment, RunError};
 pub use runbook::{read_runbook, Condition, Runbook, Step};
 
 /// The runbooks that come with the program: name and JSON text.
--- a/crates/runbooks/src/run.rs
+++ b/crates/runbooks/src/run.rs
@@ -2,7 +2,7 @@
 use crate::page::step_text;
 use crate::runbook::{Condition, Runbook, Step};
 use control_state::{obj, text};
-use primitives::{Addr, Look, LookProblem};
+use primitives::{Addr, JsonError, Look};
 use snafu::Snafu;
 use std::collections::BTreeMap;
 use tinyjson::JsonValue;
@@ -12,7 +12,7 @@
 
 /// Why a run stopped. Steps are counted from 1.
 #[derive(Debug, Snafu)]
-pub enum RunProblem {
+pub enum RunError {
     /// A value that the runbook needs was not given.
     #[snafu(display("tell it with --set {name}=...: {what}"))]
     MissingValue {
@@ -33,7 +33,7 @@
         /// The step.
         step: usize,
         /// What is wrong with the change.
-        source: LookProblem,
+        source: JsonError,
     },
     /// With the given values a step names no address.
     #[snafu(display("step {step}: {at} is no address"))]
@@ -91,7 +91,7 @@
     fn clock(&mut self) -> u64;
 }
 
-type Result<T> = std::result::Result<T, RunProblem>;
+type Result<T> = std::result::Result<T, RunError>;
 type Values = BTreeMap<String, String>;
 
 /// Replaces each `{name}` by its value.
@@ -172,7 +172,7 @@
 }
 
 fn accepted(step: usize, answer: Option<(u16, JsonValue)>) -> Result<()> {
-    let (status, body) = answer.ok_or(RunProblem::NoAnswer { step })?;
+    let (status, body) = answer.ok_or(RunError::NoAnswer { step })?;
     if status < FIRST_REFUSAL {
         return Ok(());
     }
@@ -184,8 +184,8 @@
     let mut fields = fields.clone();
     fields.insert("id".into(), text(id));
     let change = JsonValue::Object(fields);
-    control_state::read_change(&Look::at(&change, ""))
-        .map_err(|source| RunProblem::InvalidChange { step, source })?;
+    control_state::parse_change(&Look::at(&change, ""))
+        .map_err(|source| RunError::InvalidChange { step, source })?;
     accepted(step, environment.post("lanewing/changes", &change))
 }
 
@@ -196,7 +196,7 @@
     environment: &mut impl Environment,
 ) -> Result<()> {
     let at = fill(&condition.at, values);
-    let addr: Addr = at.parse().map_err(|_| RunProblem::NoAddress { step, at })?;
+    let addr: Addr = at.parse().map_err(|_| RunError::NoAddress { step, at })?;
     let began = environment.clock();
     loop {
         let answer = environment.get(addr, &condition.path);
--- a/crates/runbooks/src/runbook.rs
+++ b/crates/runbooks/src/runbook.rs
@@ -1,12 +1,12 @@
 //! Reading and checking a runbook.
-use primitives::{Look, LookProblem, Reason};
+use primitives::{JsonError, Look, Reason};
 use std::collections::{BTreeMap, HashMap};
 use tinyjson::JsonValue;
 
 /// The longest that a step may wait, in seconds.
 const LONGEST_WAIT_S: u64 = 3600;
 
-type Result<T> = std::result::Result<T, LookProblem>;
+type Result<T> = std::result::Result<T, JsonError>;
 
 /// A condition that a step waits for: a field of the JSON that an address serves.
 #[derive(Clone, Debug)]
--- a/crates/runtime/src/pieces.rs
+++ b/crates/runtime/src/chunked_records.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariant: the end is written only after every piece was synced, and a record
 //! without its end never counts.
-use crate::scan::{u32_at, u64_at, Sort};
+use crate::disk_log_scan::{u32_at, u64_at, RecordKind};
 
 /// The largest piece. Bounds the memory that writing takes.
 pub(crate) const PIECE: usize = 64 << 10;
@@ -23,7 +23,7 @@
     }
 
     pub(crate) fn encode(&self) -> Vec<u8> {
-        let mut bytes = vec![if self.base { Sort::Base } else { Sort::Plain } as u8];
+        let mut bytes = vec![if self.base { RecordKind::Base } else { RecordKind::Plain } as u8];
         bytes.extend(self.length.to_le_bytes());
         bytes.extend(self.check.to_le_bytes());
         bytes
@@ -43,7 +43,7 @@
 struct Open {
     whole: Whole,
     /// The segment that it began in.
-    seg: u64,
+    segment: u64,
     data: Vec<u8>,
 }
 
@@ -64,45 +64,45 @@
 impl Assembler {
     /// The segment in which a base began that never got its end.
     pub(crate) fn abandoned(&self) -> Option<u64> {
-        self.open.as_ref().filter(|o| o.whole.base).map(|o| o.seg)
+        self.open.as_ref().filter(|o| o.whole.base).map(|o| o.segment)
     }
 
-    pub(crate) fn take(&mut self, seg: u64, sort: Sort, data: Vec<u8>) -> Result<(), Unfit> {
+    pub(crate) fn take(&mut self, segment: u64, sort: RecordKind, data: Vec<u8>) -> Result<(), Unfit> {
         match sort {
-            Sort::Seal => (),
-            Sort::Plain => {
+            RecordKind::Seal => (),
+            RecordKind::Plain => {
                 self.open = None;
                 self.records.push(data);
             }
-            Sort::Base => {
+            RecordKind::Base => {
                 self.open = None;
-                self.replace(seg, data);
+                self.replace(segment, data);
             }
-            Sort::Begin => {
+            RecordKind::Begin => {
                 let whole = Whole::decode(&data).ok_or(Unfit)?;
-                self.open = Some(Open { whole, seg, data: vec![] });
+                self.open = Some(Open { whole, segment, data: vec![] });
             }
-            Sort::Piece => self.open.as_mut().ok_or(Unfit)?.data.extend(data),
-            Sort::End => self.end()?,
+            RecordKind::Piece => self.open.as_mut().ok_or(Unfit)?.data.extend(data),
+            RecordKind::End => self.end()?,
         }
         Ok(())
     }
 
     fn end(&mut self) -> Result<(), Unfit> {
-        let Open { whole, seg, data } = self.open.take().ok_or(Unfit)?;
+        let Open { whole, segment, data } = self.open.take().ok_or(Unfit)?;
         if Whole::of(whole.base, &data) != whole {
             return Err(Unfit);
         }
         if whole.base {
-            self.replace(seg, data);
+            self.replace(segment, data);
         } else {
             self.records.push(data);
         }
         Ok(())
     }
 
-    fn replace(&mut self, seg: u64, data: Vec<u8>) {
+    fn replace(&mut self, segment: u64, data: Vec<u8>) {
         self.records = vec![data];
-        self.base_at = Some(seg);
+        self.base_at = Some(segment);
     }
 }
