--- a/crates/runtime/src/cond.rs
+++ b/crates/runtime/src/conditional_requests.rs
@@ -1,7 +1,7 @@
 //! Conditional and range requests, answered from one whole answer at hand, so
 //! that bytes of two can never mix.
 use crate::front::Reply;
-use control_state::Heads;
+use control_state::Headers;
 use std::sync::Arc;
 
 /// What a 304 repeats of the answer it stands for.
@@ -12,7 +12,7 @@
     v.split(',').map(|t| t.trim().trim_start_matches("W/"))
 }
 
-fn unchanged(asked: &Heads, r: &Reply) -> bool {
+fn unchanged(asked: &Headers, r: &Reply) -> bool {
     let tag = r.heads.get("etag").map(|t| t.trim_start_matches("W/"));
     match asked.get("if-none-match") {
         Some("*") => true,
@@ -32,7 +32,7 @@
 }
 
 /// One range of bytes; several, or another unit, get the whole.
-fn part(asked: &Heads, r: &Reply) -> Part {
+fn part(asked: &Headers, r: &Reply) -> Part {
     let len = r.body.len();
     let Some(spec) = asked.get("range").and_then(|v| v.strip_prefix("bytes=")) else { return Part::All };
     let same = asked.get("if-range").is_none_or(|t| {
@@ -52,7 +52,7 @@
 }
 
 /// The reply to a GET or HEAD, made to fit what its caller asked.
-pub fn fit(method: &str, asked: &Heads, mut r: Reply) -> Reply {
+pub fn fit(method: &str, asked: &Headers, mut r: Reply) -> Reply {
     if !["GET", "HEAD"].contains(&method) || r.status != 200 {
         return r;
     }
@@ -64,7 +64,7 @@
         return r;
     }
     let len = r.body.len();
-    let cut = |h: &Heads, range: String| {
+    let cut = |h: &Headers, range: String| {
         // The digest of the content would be that of all of it.
         h.without(|n| n == "content-digest" || n == "content-md5").with("content-range", range)
     };
@@ -91,7 +91,7 @@
     use super::*;
 
     fn ask(l: &[(&str, &str)]) -> Reply {
-        let h = |l: &[(&str, &str)]| l.iter().fold(Heads::default(), |h, (n, v)| h.with(n, *v));
+        let h = |l: &[(&str, &str)]| l.iter().fold(Headers::default(), |h, (n, v)| h.with(n, *v));
         let whole = h(&[("etag", "\"e1\""), ("last-modified", "then"), ("content-digest", "d")]);
         fit("GET", &h(l), Reply::new(200, whole, Arc::new(b"0123456789".to_vec())))
     }
--- a/crates/runtime/src/ring.rs
+++ b/crates/runtime/src/disk_log.rs
@@ -1,9 +1,9 @@
 //! A ring of preallocated files holding a log of records.
+use crate::chunked_records::{Whole, BEGIN, PIECE};
+use crate::disk_log_files;
+pub use crate::disk_log_files::existing_size;
+use crate::disk_log_scan::{sum, Head, RecordKind, HEAD, RECORD_HEADER_LEN};
 use crate::full_disk;
-use crate::pieces::{Whole, BEGIN, PIECE};
-use crate::ring_files;
-pub use crate::ring_files::existing_size;
-use crate::scan::{sum, Head, Sort, HEAD, REC};
 use snafu::{ResultExt, Snafu};
 use std::fs::File;
 use std::io;
@@ -11,7 +11,7 @@
 
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum RingProblem {
+pub enum DiskLogError {
     #[snafu(display("{}: {source}", path.display()))]
     Disk { path: PathBuf, source: io::Error },
     #[snafu(display("{}: damaged at byte {at}, with good records behind it", path.display()))]
@@ -21,20 +21,20 @@
     #[snafu(display("the ring is full of records still needed"))]
     Full,
     #[snafu(display("{} has {is} bytes, the settings say {size}: a ring keeps the size it was made with", path.display()))]
-    OtherSize { path: PathBuf, is: u64, size: u64 },
+    SizeMismatch { path: PathBuf, is: u64, size: u64 },
     #[snafu(display("a record of {size} bytes does not fit the ring"))]
     TooLarge { size: usize },
 }
 
-pub(crate) type Result<T> = std::result::Result<T, RingProblem>;
+pub(crate) type Result<T> = std::result::Result<T, DiskLogError>;
 
 /// Invariant: segment `n` lies in file `n % files`; the needed ones are
-/// `live ..= seg`, so never more than there are files.
-pub struct Ring {
+/// `live ..= segment`, so never more than there are files.
+pub struct DiskLog {
     dir: PathBuf,
     pub(crate) files: Vec<File>,
     pub(crate) size: u64,
-    pub(crate) seg: u64,
+    pub(crate) segment: u64,
     pub(crate) live: u64,
     pub(crate) at: u64,
     pub(crate) rec: u64,
@@ -47,14 +47,14 @@
 /// So that little of a small file is left over at its end.
 const PIECES_A_FILE: usize = 8;
 
-impl Ring {
+impl DiskLog {
     /// Opens the ring, making it if need be, and reads back all that counts.
-    pub fn open(dir: &Path, files: usize, size: u64) -> Result<(Ring, Vec<Vec<u8>>)> {
-        let mut ring = Ring {
+    pub fn open(dir: &Path, files: usize, size: u64) -> Result<(DiskLog, Vec<Vec<u8>>)> {
+        let mut ring = DiskLog {
             dir: dir.to_path_buf(),
-            files: ring_files::open_all(dir, files, size)?,
+            files: disk_log_files::open_all(dir, files, size)?,
             size,
-            seg: 0,
+            segment: 0,
             live: 0,
             at: 0,
             rec: 0,
@@ -62,41 +62,43 @@
             sealed: false,
         };
         let records = ring.recover()?;
-        ring.clear_headless()?;
+        ring.clear_files_without_header()?;
         Ok((ring, records))
     }
 
-    pub(crate) fn path(&self, seg: u64) -> PathBuf {
-        self.dir.join(format!("ring-{}", seg as usize % self.files.len()))
+    pub(crate) fn path(&self, segment: u64) -> PathBuf {
+        self.dir.join(format!("ring-{}", segment as usize % self.files.len()))
     }
 
-    fn put(&mut self, sort: Sort, data: &[u8]) -> Result<()> {
-        let mut b = Vec::with_capacity(REC + data.len());
+    fn put(&mut self, sort: RecordKind, data: &[u8]) -> Result<()> {
+        let mut b = Vec::with_capacity(RECORD_HEADER_LEN + data.len());
         b.push(sort as u8);
         b.extend((data.len() as u32).to_le_bytes());
         b.extend(self.rec.to_le_bytes());
-        let c = sum(self.seg, &b, data);
+        let c = sum(self.segment, &b, data);
         b.extend(c.to_le_bytes());
         b.extend(data);
-        full_disk::write_all_at(self.file(), &b, self.at).context(DiskSnafu { path: self.path(self.seg) })?;
+        full_disk::write_all_at(self.file(), &b, self.at)
+            .context(DiskSnafu { path: self.path(self.segment) })?;
         self.at += b.len() as u64;
         self.rec += 1;
         Ok(())
     }
 
     fn file(&self) -> &File {
-        &self.files[self.seg as usize % self.files.len()]
+        &self.files[self.segment as usize % self.files.len()]
     }
 
     /// Begins the next segment; `live` is the first one needed from then on, and
     /// `spare` files are kept back.
     fn next(&mut self, live: u64, spare: u64) -> Result<()> {
-        if self.seg + 1 + spare - self.live >= self.files.len() as u64 {
+        if self.segment + 1 + spare - self.live >= self.files.len() as u64 {
             return FullSnafu.fail();
         }
-        self.seg += 1;
-        let head = Head { seg: self.seg, live }.encode();
-        full_disk::write_all_at(self.file(), &head, 0).context(DiskSnafu { path: self.path(self.seg) })?;
+        self.segment += 1;
+        let head = Head { segment: self.segment, live }.encode();
+        full_disk::write_all_at(self.file(), &head, 0)
+            .context(DiskSnafu { path: self.path(self.segment) })?;
         self.at = HEAD as u64;
         self.sealed = false;
         Ok(())
@@ -104,7 +106,7 @@
 
     fn seal(&mut self) -> Result<()> {
         if self.at >= HEAD as u64 && !self.sealed {
-            self.put(Sort::Seal, &[])?;
+            self.put(RecordKind::Seal, &[])?;
             self.sync_file()?;
             self.sealed = true;
         }
@@ -112,7 +114,7 @@
     }
 
     fn sync_file(&self) -> Result<()> {
-        self.file().sync_data().context(DiskSnafu { path: self.path(self.seg) })
+        self.file().sync_data().context(DiskSnafu { path: self.path(self.segment) })
     }
 
     /// The largest record that is written at once.
@@ -121,8 +123,8 @@
     }
 
     /// Puts a record where it has room, in the next file if need be.
-    fn append(&mut self, sort: Sort, data: &[u8], spare: u64) -> Result<()> {
-        let need = (2 * REC + data.len()) as u64;
+    fn append(&mut self, sort: RecordKind, data: &[u8], spare: u64) -> Result<()> {
+        let need = (2 * RECORD_HEADER_LEN + data.len()) as u64;
         if self.sealed || self.at + need > self.size {
             self.seal()?;
             self.next(self.live, spare)?;
@@ -140,7 +142,7 @@
         // One file is kept back for a base, so that a full ring can be emptied.
         let spare = 1;
         if data.len() <= self.piece() {
-            return self.append(Sort::Plain, data, spare);
+            return self.append(RecordKind::Plain, data, spare);
         }
         self.fits(data.len())?;
         self.append_pieces(false, data, spare)
@@ -150,14 +152,14 @@
     pub fn base(&mut self, data: &[u8]) -> Result<()> {
         let needed = self.fits(data.len())?;
         // All or nothing: no file is touched unless there is room for the whole.
-        if self.at != 0 && self.seg + needed - self.live >= self.files.len() as u64 {
+        if self.at != 0 && self.segment + needed - self.live >= self.files.len() as u64 {
             return FullSnafu.fail();
         }
         self.seal()?;
-        let first = self.seg + 1;
+        let first = self.segment + 1;
         if data.len() <= self.piece() {
             self.next(first, 0)?;
-            self.put(Sort::Base, data)?;
+            self.put(RecordKind::Base, data)?;
         } else {
             // In a new ring there is no earlier segment to need.
             self.live = if self.at == 0 { first } else { self.live };
@@ -171,10 +173,10 @@
     /// How many files a record takes at most; it may never take all of them.
     fn fits(&self, length: usize) -> Result<u64> {
         let piece = self.piece();
-        let room = self.size as usize - HEAD - REC;
+        let room = self.size as usize - HEAD - RECORD_HEADER_LEN;
         // One more record than pieces, for the begin and the end are smaller than one.
         let records = length.div_ceil(piece) + (length > piece) as usize;
-        let per_file = room / (REC + piece).max(REC + BEGIN);
+        let per_file = room / (RECORD_HEADER_LEN + piece).max(RECORD_HEADER_LEN + BEGIN);
         let needed = records.div_ceil(per_file.max(1)) as u64;
         if needed >= self.files.len() as u64 {
             return TooLargeSnafu { size: length }.fail();
@@ -184,13 +186,13 @@
 
     /// Each piece is synced before the next one is written.
     fn append_pieces(&mut self, base: bool, data: &[u8], spare: u64) -> Result<()> {
-        self.append(Sort::Begin, &Whole::of(base, data).encode(), spare)?;
+        self.append(RecordKind::Begin, &Whole::of(base, data).encode(), spare)?;
         for piece in data.chunks(self.piece()) {
             self.sync_file()?;
-            self.append(Sort::Piece, piece, spare)?;
+            self.append(RecordKind::Piece, piece, spare)?;
         }
         self.sync_file()?;
-        self.append(Sort::End, &[], spare)
+        self.append(RecordKind::End, &[], spare)
     }
 
     pub fn sync(&mut self) -> Result<()> {
--- a/crates/runtime/src/exec.rs
+++ b/crates/runtime/src/executor.rs
@@ -1,8 +1,8 @@
 //! The executor: runs rounds at origins exactly as decided, and reports.
-use crate::room::{Room, Taken};
+use crate::memory_budget::{MemoryBudget, MemoryReservation};
+use crate::origin_client::{agent, any_bytes_sent, set_send_deadline};
+use crate::origin_response::{whole, ResponseRead};
 use crate::shell::Handle;
-use crate::whole::{whole, Came};
-use crate::wire::{agent, has_left, may_leave};
 use control_state::*;
 use primitives::{Addr, Birth, Mono, Span};
 use std::sync::mpsc::{channel, Sender};
@@ -14,22 +14,26 @@
 use ureq::{Agent, RequestBuilder};
 
 type Dress = dyn Fn(&Round, Span) -> Vec<(String, Vec<u8>)> + Send + Sync;
-type Judge = dyn Fn(&Round, Whole) -> Fetched + Send + Sync;
+type Judge = dyn Fn(&Round, Whole) -> FetchOutcome + Send + Sync;
 
 /// How a deployment's origins are spoken to.
 #[derive(Clone)]
-pub struct Manner {
+pub struct OriginProtocol {
     /// The fields that go out beside the caller's own; given what time is left.
-    pub dress: Arc<Dress>,
+    pub origin_headers: Arc<Dress>,
     /// What a whole answer means.
     pub judge: Arc<Judge>,
     /// How long a connection may take to come up.
     pub connect: Duration,
 }
 
-impl Default for Manner {
-    fn default() -> Manner {
-        Manner { dress: Arc::new(own), judge: Arc::new(judge), connect: Duration::from_millis(800) }
+impl Default for OriginProtocol {
+    fn default() -> OriginProtocol {
+        OriginProtocol {
+            origin_headers: Arc::new(own),
+            judge: Arc::new(judge),
+            connect: Duration::from_millis(800),
+        }
     }
 }
 
@@ -44,20 +48,20 @@
 }
 
 /// 421: meant for another life of this address, so it was not run.
-fn judge(_: &Round, w: Whole) -> Fetched {
+fn judge(_: &Round, w: Whole) -> FetchOutcome {
     if w.status == 421 {
-        Fetched::NotSent
+        FetchOutcome::NotSent
     } else {
-        Fetched::Whole(w)
+        FetchOutcome::Whole(w)
     }
 }
 
 #[derive(Clone)]
-pub struct ExecEnv {
+pub struct ExecutorConfig {
     /// Answers larger than this are not served.
     pub answer: usize,
-    pub room: Arc<Room>,
-    pub manner: Manner,
+    pub room: Arc<MemoryBudget>,
+    pub origin_protocol: OriginProtocol,
 }
 
 type Answer = Option<Result<Response<ureq::Body>, ureq::Error>>;
@@ -101,17 +105,19 @@
 }
 
 /// A whole answer, or why there is none.
-pub fn run(env: &ExecEnv, r: &Round) -> Fetched {
+pub fn run(env: &ExecutorConfig, r: &Round) -> FetchOutcome {
     // A round that is given up has no business leaving any more.
-    may_leave(r.until.min(r.horizon));
-    let left = || if has_left() { Fetched::Lost } else { Fetched::NotSent };
-    let most = (r.horizon - crate::now()).max(Span::ms(1));
-    let own = (env.manner.dress)(r, most);
-    let Some(Ok(mut resp)) = ask(&agent(most.into(), env.manner.connect), r, own) else { return left() };
-    let mut held: Option<Taken> = None;
+    set_send_deadline(r.until.min(r.answer_deadline));
+    let left = || if any_bytes_sent() { FetchOutcome::Lost } else { FetchOutcome::NotSent };
+    let most = (r.answer_deadline - crate::now()).max(Span::ms(1));
+    let own = (env.origin_protocol.origin_headers)(r, most);
+    let Some(Ok(mut resp)) = ask(&agent(most.into(), env.origin_protocol.connect), r, own) else {
+        return left();
+    };
+    let mut held: Option<MemoryReservation> = None;
     // Room is waited for as long as the origin is; nobody holds it for longer.
     let mut room = |n: usize| {
-        let wait: Duration = (r.horizon - crate::now()).into();
+        let wait: Duration = (r.answer_deadline - crate::now()).into();
         match &mut held {
             Some(t) => t.reach(n, wait),
             None => {
@@ -121,15 +127,17 @@
         }
     };
     match whole(&r.req.method, &mut resp, env.answer, &mut room) {
-        Came::Whole(w) => (env.manner.judge)(r, Whole { hold: Hold(held.map(|t| Arc::new(t) as _)), ..w }),
-        Came::TooLarge => Fetched::TooLarge,
-        Came::Broken => left(),
+        ResponseRead::Whole(w) => {
+            (env.origin_protocol.judge)(r, Whole { hold: MemoryHold(held.map(|t| Arc::new(t) as _)), ..w })
+        }
+        ResponseRead::TooLarge => FetchOutcome::TooLarge,
+        ResponseRead::Broken => left(),
     }
 }
 
 /// Rounds sent to the sender are run, each on a thread of its own: the edge bounds
 /// how many of one service are out.
-pub fn rounds(env: ExecEnv) -> (Sender<Round>, impl FnOnce(Handle)) {
+pub fn rounds(env: ExecutorConfig) -> (Sender<Round>, impl FnOnce(Handle)) {
     let (tx, rx) = channel::<Round>();
     let start = move |h: Handle| {
         thread::spawn(move || {
@@ -140,7 +148,7 @@
                     hh.ask(Ask::Done(r.n, f), Duration::from_secs(1));
                 };
                 if thread::Builder::new().spawn(job).is_err() {
-                    h.ask(Ask::Done(n, Fetched::NotSent), Duration::from_secs(1));
+                    h.ask(Ask::Done(n, FetchOutcome::NotSent), Duration::from_secs(1));
                 }
             }
         });
@@ -153,14 +161,14 @@
     let agent = agent(Duration::from_millis(400), Duration::from_millis(400));
     thread::spawn(move || loop {
         thread::sleep(Duration::from_millis(300));
-        let Some(Receipt::Probes(all)) = h.ask(Ask::Probes, Duration::from_secs(1)) else { continue };
+        let Some(NodeReply::Probes(all)) = h.ask(Ask::Probes, Duration::from_secs(1)) else { continue };
         for a in all {
             let (h, agent) = (h.clone(), agent.clone());
             thread::spawn(move || {
                 let began = crate::now();
-                may_leave(Mono(u64::MAX));
+                set_send_deadline(Mono(u64::MAX));
                 let said = ask_origin(&agent, a);
-                h.ask(Ask::Probed(a, said, began), Duration::from_secs(1));
+                h.ask(Ask::ProbeResult(a, said, began), Duration::from_secs(1));
             });
         }
     });
--- a/crates/runtime/src/front.rs
+++ b/crates/runtime/src/front.rs
@@ -1,8 +1,8 @@
 //! HTTP towards callers, origins, operators and the platform.
-use crate::intake::{head, take, Amiss, Call, Head};
-use crate::room::Room;
+use crate::connection_monitor::{ConnectionMonitor, ConnectionPhase, Patience};
+use crate::memory_budget::MemoryBudget;
+use crate::request_parser::{head, take, Call, Head, RequestRejection};
 use crate::shell::Handle;
-use crate::usher::{Doing, Patience, Usher};
 use control_state::*;
 use nix::sys::socket::{setsockopt, sockopt::SendTimeout};
 use nix::sys::time::{TimeVal, TimeValLike};
@@ -19,23 +19,23 @@
 #[derive(Debug)]
 pub struct Reply {
     pub status: u16,
-    pub heads: Heads,
+    pub heads: Headers,
     pub body: Arc<Vec<u8>>,
     /// What the length field says where no body goes out.
     pub length: Option<usize>,
     /// Not a byte leaves after this.
     pub until: Mono,
-    pub hold: Hold,
+    pub hold: MemoryHold,
 }
 
 impl Reply {
-    pub fn new(status: u16, heads: Heads, body: Arc<Vec<u8>>) -> Reply {
-        Reply { status, heads, body, length: None, until: Mono(u64::MAX), hold: Hold::default() }
+    pub fn new(status: u16, heads: Headers, body: Arc<Vec<u8>>) -> Reply {
+        Reply { status, heads, body, length: None, until: Mono(u64::MAX), hold: MemoryHold::default() }
     }
 
     pub fn json(status: u16, v: JsonValue) -> Reply {
         let body = v.stringify().unwrap_or_default().into_bytes();
-        Reply::new(status, Heads::default().with("content-type", "application/json"), Arc::new(body))
+        Reply::new(status, Headers::default().with("content-type", "application/json"), Arc::new(body))
     }
 
     /// A denial or failure, by name, with its reason.
@@ -58,12 +58,12 @@
 }
 
 #[derive(Clone)]
-pub struct FrontEnv {
+pub struct FrontConfig {
     /// Requests in hand at a time.
     pub callers: usize,
     /// Bytes of a request's body.
     pub body: usize,
-    pub room: Arc<Room>,
+    pub room: Arc<MemoryBudget>,
     pub patience: Patience,
 }
 
@@ -71,7 +71,7 @@
 /// count, so that callers never keep it waiting.
 #[derive(Default)]
 pub struct Open {
-    usher: OnceLock<Arc<Usher>>,
+    connection_monitor: OnceLock<Arc<ConnectionMonitor>>,
     callers: AtomicUsize,
     health: AtomicUsize,
 }
@@ -83,8 +83,8 @@
 
     /// Closes connections that ask nothing, so that their callers see the end
     /// before they send more.
-    pub fn shut_idle(&self) {
-        self.usher.get().into_iter().for_each(|u| u.shut_idle());
+    pub fn close_idle(&self) {
+        self.connection_monitor.get().into_iter().for_each(|u| u.close_idle());
     }
 }
 
@@ -95,7 +95,7 @@
 }
 
 /// Values that the library cannot carry stay behind, and are named.
-fn headers(heads: &Heads) -> Vec<Header> {
+fn headers(heads: &Headers) -> Vec<Header> {
     let mut left: Vec<&str> = vec![];
     let mut all: Vec<Header> = vec![];
     for (n, v) in heads.iter() {
@@ -126,53 +126,63 @@
 
 /// The last word on this connection, which waits for nothing its caller may still
 /// have to send.
-fn cut_off(req: Request, r: Reply, usher: &Usher) {
+fn cut_off(req: Request, r: Reply, connection_monitor: &ConnectionMonitor) {
     let peer = req.remote_addr().copied();
-    peer.into_iter().for_each(|p| usher.deafen(p));
+    peer.into_iter().for_each(|p| connection_monitor.shutdown_read(p));
     answer(req, r);
-    peer.into_iter().for_each(|p| usher.hush(p));
+    peer.into_iter().for_each(|p| connection_monitor.hush(p));
 }
 
 type Serve = dyn Fn(Call) -> Reply + Send + Sync;
 
 /// One request, on a thread of its own: a slow caller holds up nobody else.
-fn one(mut req: Request, h: Result<Head, Amiss>, env: &FrontEnv, usher: &Usher, f: &Serve) {
+fn one(
+    mut req: Request,
+    h: Result<Head, RequestRejection>,
+    env: &FrontConfig,
+    connection_monitor: &ConnectionMonitor,
+    f: &Serve,
+) {
     let peer = req.remote_addr().copied();
-    let mark = |d: Doing| peer.into_iter().for_each(|p| usher.set(p, d));
-    mark(Doing::Sending);
+    let mark = |d: ConnectionPhase| peer.into_iter().for_each(|p| connection_monitor.set(p, d));
+    mark(ConnectionPhase::Sending);
     match h.and_then(|h| take(&mut req, h, env.body, &env.room)) {
         Ok(call) => {
-            mark(Doing::Waiting);
+            mark(ConnectionPhase::Waiting);
             let r = f(call);
-            mark(Doing::Taking);
+            mark(ConnectionPhase::Taking);
             answer(req, r);
-            mark(Doing::Asking);
+            mark(ConnectionPhase::Asking);
         }
         Err(a) => {
-            mark(if a.cut { Doing::Outcast } else { Doing::Taking });
+            mark(if a.cut { ConnectionPhase::ProtocolViolation } else { ConnectionPhase::Taking });
             if a.cut {
-                return cut_off(req, a.reply, usher);
+                return cut_off(req, a.reply, connection_monitor);
             }
             answer(req, a.reply);
-            mark(Doing::Asking);
+            mark(ConnectionPhase::Asking);
         }
     }
 }
 
 /// Serves HTTP by what `f` says.
-pub fn serve(l: TcpListener, env: FrontEnv, f: impl Fn(Call) -> Reply + Send + Sync + 'static) -> Arc<Open> {
+pub fn serve(
+    l: TcpListener,
+    env: FrontConfig,
+    f: impl Fn(Call) -> Reply + Send + Sync + 'static,
+) -> Arc<Open> {
     let open: Arc<Open> = Arc::default();
     // Accepted connections inherit it: who does not read is given up.
     let _ = setsockopt(&l, SendTimeout, &TimeVal::milliseconds(env.patience.take.as_ms() as i64));
     let none = SocketAddr::from(([0, 0, 0, 0], 0));
-    let usher = Usher::start(l.local_addr().unwrap_or(none), env.patience);
-    let _ = open.usher.set(usher.clone());
+    let connection_monitor = ConnectionMonitor::start(l.local_addr().unwrap_or(none), env.patience);
+    let _ = open.connection_monitor.set(connection_monitor.clone());
     let Ok(server) = Server::from_listener(l, None) else { return open };
     let (f, count): (Arc<Serve>, _) = (Arc::new(f), open.clone());
     thread::spawn(move || {
         while let Ok(req) = server.recv() {
             let peer = req.remote_addr().copied();
-            if peer.is_some_and(|p| usher.outcast(p)) {
+            if peer.is_some_and(|p| connection_monitor.violated_protocol(p)) {
                 // It was told already; what follows is no request of anybody's.
                 drop(req.into_writer());
                 continue;
@@ -181,7 +191,9 @@
             // framing is known for what it is.
             let h = head(&req, env.body);
             let cut = h.as_ref().is_err_and(|a| a.cut);
-            peer.filter(|_| cut).into_iter().for_each(|p| usher.set(p, Doing::Outcast));
+            peer.filter(|_| cut)
+                .into_iter()
+                .for_each(|p| connection_monitor.set(p, ConnectionPhase::ProtocolViolation));
             let health = health_path(&req);
             let (open, most) = (count.clone(), if health { HEALTH } else { env.callers });
             let n = move |o: &Open, by: isize| {
@@ -191,13 +203,13 @@
             if n(&open, 1) >= most {
                 n(&open, -1);
                 let r = Reply::problem(503, "denied", "this node holds too many requests").after(2);
-                cut_off(req, r, &usher);
+                cut_off(req, r, &connection_monitor);
                 continue;
             }
-            let (f, env, usher) = (f.clone(), env.clone(), usher.clone());
+            let (f, env, connection_monitor) = (f.clone(), env.clone(), connection_monitor.clone());
             let went = open.clone();
             let job = move || {
-                one(req, h, &env, &usher, &*f);
+                one(req, h, &env, &connection_monitor, &*f);
                 n(&open, -1);
             };
             // No thread to be had: the request falls away with a 500, unsent.
@@ -217,7 +229,7 @@
             Some(Reply::json(200, obj(vec![("live", JsonValue::from(true))])))
         }
         ("GET" | "HEAD", "lanewing/ready") => Some(match h.ask(Ask::Ready, wait) {
-            Some(Receipt::Health(x)) => health(x),
+            Some(NodeReply::Health(x)) => health(x),
             _ => Reply::problem(503, "stuck", "the process does not answer itself"),
         }),
         _ => None,
--- a/crates/runtime/src/door/answer.rs
+++ b/crates/runtime/src/http_server/answer.rs
@@ -2,7 +2,7 @@
 //! short never looks complete.
 use super::head::Persist;
 use crate::front::Reply;
-use crate::intake::token;
+use crate::request_parser::token;
 use std::io::{Error, ErrorKind, IoSlice, Result, Write};
 use std::net::TcpStream;
 use tiny_http::StatusCode;
--- a/crates/runtime/src/door/body.rs
+++ b/crates/runtime/src/http_server/body.rs
@@ -2,8 +2,8 @@
 use super::input::{Input, Stop};
 use super::Limits;
 use crate::front::Reply;
-use crate::intake::{large, token, Body};
-use crate::room::{Room, Taken};
+use crate::memory_budget::{MemoryBudget, MemoryReservation};
+use crate::request_parser::{large, token, Body};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 #[derive(Default)]
 pub struct Held {
     pub bytes: Vec<u8>,
-    pub memory: Option<Taken>,
+    pub memory: Option<MemoryReservation>,
 }
 
 impl Held {
@@ -36,7 +36,7 @@
     Reply::problem(503, "denied", "no room for the body now").after(1)
 }
 
-pub fn read(i: &mut Input, framed: Body, l: &Limits, room: Option<&Arc<Room>>) -> Result<Held, Stop> {
+pub fn read(i: &mut Input, framed: Body, l: &Limits, room: Option<&Arc<MemoryBudget>>) -> Result<Held, Stop> {
     let memory = room.and_then(|room| room.take(0, Duration::ZERO));
     let mut body = Held { bytes: vec![], memory };
     match framed {
@@ -60,7 +60,7 @@
         let end = line(i, DIGITS + spare, wordy, l)?;
         let (n, digits) = size(&i.unread()[..end])?;
         spare = spare.checked_sub(end - digits).ok_or_else(wordy)?;
-        i.eat(end + 2);
+        i.consume(end + 2);
         if n == 0 {
             break;
         }
@@ -70,14 +70,14 @@
         body.reach(n)?;
         i.exactly(n, &mut body.bytes, l.send)?;
         let end = line(i, 0, || bad("a chunk is longer than its size"), l)?;
-        i.eat(end + 2);
+        i.consume(end + 2);
     }
     loop {
         let end = line(i, spare, wordy, l)?;
         spare = spare.checked_sub(end).ok_or_else(wordy)?;
         let name = i.unread()[..end].split(|b| *b == b':').next().unwrap_or_default();
         let named = name.len() < end && std::str::from_utf8(name).is_ok_and(token);
-        i.eat(end + 2);
+        i.consume(end + 2);
         match (end, named) {
             (0, _) => return Ok(()),
             (_, true) => (),
--- a/crates/runtime/src/door/conn.rs
+++ b/crates/runtime/src/http_server/conn.rs
@@ -1,10 +1,10 @@
 //! One connection's requests, one after the other.
 use super::head::{self, Head, Persist};
 use super::input::{Input, Stop};
-use super::{answer, body, Door, Exchange, Guest, Hand, Limits, Service, Visit};
+use super::{answer, body, ClientConnection, Exchange, Hand, HttpRequest, HttpServer, Limits, Service};
 use crate::front::Reply;
-use crate::intake::Body;
-use crate::room::Taken;
+use crate::memory_budget::MemoryReservation;
+use crate::request_parser::Body;
 use primitives::Span;
 use std::io::{Read, Write};
 use std::net::Shutdown;
@@ -15,8 +15,8 @@
 const LINGER: (Span, usize) = (Span::secs(1), 1 << 20);
 
 struct Conn<'a> {
-    door: &'a Door,
-    guest: &'a Guest,
+    door: &'a HttpServer,
+    guest: &'a ClientConnection,
     input: Input<'a>,
     limits: Limits,
     /// The socket's own limit to writes, so that it is set only when it changes.
@@ -32,7 +32,7 @@
     Close,
 }
 
-pub fn run(door: &Door, guest: &Guest, f: &Service) {
+pub fn run(door: &HttpServer, guest: &ClientConnection, f: &Service) {
     let (input, limits) = (Input::new(&guest.stream), (door.limits)());
     let mut c = Conn { door, guest, input, limits, send: None };
     let after = loop {
@@ -79,7 +79,7 @@
         }
     }
 
-    fn serve(&mut self, f: &Service, v: Visit, p: Persist) -> After {
+    fn serve(&mut self, f: &Service, v: HttpRequest, p: Persist) -> After {
         let asked_head = v.method == "HEAD";
         let Some(watch) = &f.extras.watch else {
             return self.answer((f.serve)(v), asked_head, p);
@@ -97,14 +97,17 @@
 
     /// None if there was but an empty line, which some callers send after a body. The memory of
     /// its body is taken until the request was answered.
-    fn request(&mut self, f: &Service) -> Result<Option<(Visit, Persist, Option<Taken>)>, Stop> {
+    fn request(
+        &mut self,
+        f: &Service,
+    ) -> Result<Option<(HttpRequest, Persist, Option<MemoryReservation>)>, Stop> {
         let (mut seen, mut until) = (0, None);
         let mut skipped = false;
         let end = loop {
             match head::end(self.input.unread(), &mut seen)? {
                 Some(2) if !skipped => {
                     (skipped, seen) = (true, 0);
-                    self.input.eat(2);
+                    self.input.consume(2);
                     if self.input.unread().is_empty() {
                         return Ok(None);
                     }
@@ -122,15 +125,15 @@
             self.input.more(left)?;
         };
         let h = head::parse(&self.input.unread()[..end], &self.limits)?;
-        self.input.eat(end);
-        let Head { method, target, host, heads, body, persist, expects } = h;
+        self.input.consume(end);
+        let Head { method, target, host, heads, body, persist, expects_continue } = h;
         let more = !matches!(body, Body::None | Body::Sized(0));
-        if expects && more && self.input.unread().is_empty() {
+        if expects_continue && more && self.input.unread().is_empty() {
             (&self.guest.stream).write_all(b"HTTP/1.1 100 Continue\r\n\r\n")?;
         }
         let held = body::read(&mut self.input, body, &self.limits, f.extras.bodies.as_ref())?;
         let (peer, read, body) = (self.guest.peer, crate::now(), held.bytes);
-        Ok(Some((Visit { method, target, host, heads, body, peer, read }, persist, held.memory)))
+        Ok(Some((HttpRequest { method, target, host, heads, body, peer, read }, persist, held.memory)))
     }
 
     fn last_word(&mut self, s: Stop) -> After {
--- a/crates/runtime/src/door/exchange.rs
+++ b/crates/runtime/src/http_server/exchange.rs
@@ -1,11 +1,11 @@
 //! What answers requests, and what is told of each once its answer was written.
-use super::Visit;
+use super::HttpRequest;
 use crate::front::Reply;
-use crate::room::Room;
+use crate::memory_budget::MemoryBudget;
 use primitives::Span;
 use std::sync::Arc;
 
-pub(super) type Serve = dyn Fn(Visit) -> Reply + Send + Sync;
+pub(super) type Serve = dyn Fn(HttpRequest) -> Reply + Send + Sync;
 
 /// How one request went, for whoever watches.
 #[derive(Clone, Debug)]
@@ -23,19 +23,19 @@
 }
 
 /// Is told how each request went, on its connection's thread.
-pub type Watch = dyn Fn(Exchange) + Send + Sync;
+pub type ExchangeObserver = dyn Fn(Exchange) + Send + Sync;
 
 /// What a door may have besides.
 #[derive(Clone, Default)]
-pub struct Extras {
+pub struct ServerOptions {
     /// Told of each request once its answer was written.
-    pub watch: Option<Arc<Watch>>,
+    pub watch: Option<Arc<ExchangeObserver>>,
     /// Memory for the bodies of all requests in hand; without it they are not counted.
-    pub bodies: Option<Arc<Room>>,
+    pub bodies: Option<Arc<MemoryBudget>>,
 }
 
 /// What answers requests, and what stands beside it.
 pub(super) struct Service {
     pub serve: Box<Serve>,
-    pub extras: Extras,
+    pub extras: ServerOptions,
 }
--- a/crates/runtime/src/door/head.rs
+++ b/crates/runtime/src/http_server/head.rs
@@ -1,8 +1,8 @@
 //! A request's head: one reading of it, or none.
 use super::Limits;
 use crate::front::Reply;
-use crate::intake::{framing, large, Body, UNENCODED};
-use control_state::Heads;
+use crate::request_parser::{framing, large, Body, UNENCODED};
+use control_state::Headers;
 use httparse::{Error, Request, Status, EMPTY_HEADER};
 
 /// What becomes of the connection after the answer.
@@ -20,11 +20,11 @@
     pub method: String,
     pub target: String,
     pub host: String,
-    pub heads: Heads,
+    pub heads: Headers,
     pub body: Body,
     pub persist: Persist,
     /// It waits for a 100 before it sends its body.
-    pub expects: bool,
+    pub expects_continue: bool,
 }
 
 const FIELDS: usize = 100;
@@ -58,12 +58,12 @@
     Reply::problem(414, "too large", format!("the path may have {TARGET} bytes"))
 }
 
-fn names(h: &Heads, field: &str, word: &str) -> bool {
+fn names(h: &Headers, field: &str, word: &str) -> bool {
     let is = |s: &[u8]| s.trim_ascii().eq_ignore_ascii_case(word.as_bytes());
     h.all(field).any(|v| v.split(|b| *b == b',').any(is))
 }
 
-fn host(h: &Heads, old: bool) -> Result<String, Reply> {
+fn host(h: &Headers, old: bool) -> Result<String, Reply> {
     let good = |v: &[u8]| v.iter().all(|b| b.is_ascii_graphic() && !b"/\\@?#,\"<>".contains(b));
     let mut all = h.all("host");
     match (all.next(), all.next()) {
@@ -73,7 +73,7 @@
     }
 }
 
-fn persist(h: &Heads, old: bool) -> Persist {
+fn persist(h: &Headers, old: bool) -> Persist {
     match (names(h, "connection", "close"), old) {
         (false, false) => Persist::Yes,
         (false, true) if names(h, "connection", "keep-alive") => Persist::Told,
@@ -106,7 +106,7 @@
     if target.contains(UNENCODED) {
         return Err(bad("the target has characters that should be encoded"));
     }
-    let mut heads = Heads::default();
+    let mut heads = Headers::default();
     r.headers.iter().for_each(|h| heads.push(h.name, h.value));
     let old = r.version == Some(0);
     let body = framing(&heads).map_err(bad)?;
@@ -115,10 +115,10 @@
         Body::Sized(n) if *n > l.body => return Err(large(l.body).reply),
         _ => (),
     }
-    let expects = !old && heads.has("expect");
-    if expects && !heads.all("expect").all(|v| v.eq_ignore_ascii_case(b"100-continue")) {
+    let expects_continue = !old && heads.has("expect");
+    if expects_continue && !heads.all("expect").all(|v| v.eq_ignore_ascii_case(b"100-continue")) {
         return Err(Reply::problem(417, "denied", "only 100-continue can be expected"));
     }
     let (host, persist) = (host(&heads, old)?, persist(&heads, old));
-    Ok(Head { method: method.into(), target: target.into(), host, heads, body, persist, expects })
+    Ok(Head { method: method.into(), target: target.into(), host, heads, body, persist, expects_continue })
 }
--- a/crates/runtime/src/door/input.rs
+++ b/crates/runtime/src/http_server/input.rs
@@ -55,7 +55,7 @@
         &self.buf[self.from..self.to]
     }
 
-    pub fn eat(&mut self, n: usize) {
+    pub fn consume(&mut self, n: usize) {
         self.from += n;
         if self.from == self.to {
             (self.from, self.to) = (0, 0);
@@ -117,7 +117,7 @@
             }
             let k = n.min(self.to - self.from);
             body.extend_from_slice(&self.buf[self.from..self.from + k]);
-            self.eat(k);
+            self.consume(k);
             n -= k;
         }
         Ok(())
--- a/crates/runtime/src/door/refused.rs
+++ b/crates/runtime/src/http_server/refused.rs
@@ -1,6 +1,6 @@
 //! Connections there is no place for. They are told so and held for a moment,
 //! since closing one that sent more than was read takes its answer away.
-use super::{answer, head::Persist, Guest};
+use super::{answer, head::Persist, ClientConnection};
 use crate::front::Reply;
 use primitives::{Mono, Span};
 use std::collections::VecDeque;
@@ -10,14 +10,14 @@
 
 /// Invariant: at most `MOST`, oldest first. Whoever comes next ends the old ones.
 #[derive(Default)]
-pub struct Refused(VecDeque<(Mono, Arc<Guest>)>);
+pub struct Refused(VecDeque<(Mono, Arc<ClientConnection>)>);
 
 const MOST: usize = 64;
 const HELD: Span = Span::secs(1);
 
 impl Refused {
     /// Never waits: nothing was sent to it yet, so there is room for the answer.
-    pub fn tell(&mut self, g: Arc<Guest>) {
+    pub fn tell(&mut self, g: Arc<ClientConnection>) {
         let _ = g.stream.set_nonblocking(true);
         let r = Reply::problem(503, "denied", "this node holds too many connections").after(2);
         let _ = answer::send(&g.stream, &r, false, Persist::No);
@@ -35,7 +35,7 @@
     }
 }
 
-fn drain(g: &Guest) {
+fn drain(g: &ClientConnection) {
     let mut buf = [0; 4096];
     let _ = (0..16).take_while(|_| (&g.stream).read(&mut buf).is_ok_and(|n| n > 0)).count();
 }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,26 +1,26 @@
 //! The basket round a part: it gives it a clock, links, a disk, HTTP and logs.
-pub mod cond;
-pub mod door;
-pub mod env;
-pub mod exec;
+mod chunked_records;
+pub mod conditional_requests;
+pub mod connection_monitor;
+pub mod disk_log;
+mod disk_log_files;
+mod disk_log_recovery;
+mod disk_log_scan;
+pub mod executor;
 pub mod frame;
 pub mod front;
 pub mod full_disk;
-pub mod intake;
+pub mod http_server;
 pub mod logs;
+pub mod memory_budget;
 pub mod metrics;
 pub mod net;
-mod pieces;
+mod origin_client;
+mod origin_response;
 pub mod process;
-mod recover;
-pub mod ring;
-mod ring_files;
-pub mod room;
-mod scan;
+pub mod request_parser;
+pub mod settings;
 pub mod shell;
-pub mod usher;
-mod whole;
-mod wire;
 
 use primitives::Mono;
 
--- a/crates/runtime/src/logs.rs
+++ b/crates/runtime/src/logs.rs
@@ -9,9 +9,9 @@
 
 /// Invariant: at most `KEPT` lines; a written-out line is not written again.
 #[derive(Clone, Default)]
-pub struct LogRing(Arc<Mutex<VecDeque<String>>>);
+pub struct LogBuffer(Arc<Mutex<VecDeque<String>>>);
 
-impl LogRing {
+impl LogBuffer {
     pub fn logger(&self) -> Logger {
         Logger::root(self.clone().fuse(), slog::o!())
     }
@@ -33,7 +33,7 @@
     }
 }
 
-impl Drain for LogRing {
+impl Drain for LogBuffer {
     type Ok = ();
     type Err = slog::Error;
 
@@ -61,7 +61,7 @@
 
 /// A panic is something going wrong: the ring first, then the process ends,
 /// for a part that panicked must not go on half done.
-pub fn on_panic(ring: LogRing) {
+pub fn on_panic(ring: LogBuffer) {
     let was = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |i| {
         ring.dump();
--- a/crates/runtime/src/room.rs
+++ b/crates/runtime/src/memory_budget.rs
@@ -4,7 +4,7 @@
 
 /// Invariant: what is taken and not yet given back is at most `most`.
 #[derive(Debug)]
-pub struct Room {
+pub struct MemoryBudget {
     most: usize,
     taken: Mutex<usize>,
     freed: Condvar,
@@ -12,11 +12,11 @@
 
 /// Given back when dropped.
 #[derive(Debug)]
-pub struct Taken(Arc<Room>, usize);
+pub struct MemoryReservation(Arc<MemoryBudget>, usize);
 
-impl Room {
-    pub fn new(most: usize) -> Arc<Room> {
-        Arc::new(Room { most, taken: Mutex::new(0), freed: Condvar::new() })
+impl MemoryBudget {
+    pub fn new(most: usize) -> Arc<MemoryBudget> {
+        Arc::new(MemoryBudget { most, taken: Mutex::new(0), freed: Condvar::new() })
     }
 
     fn add(&self, n: usize, wait: Duration) -> bool {
@@ -34,12 +34,12 @@
     }
 
     /// Waits at most so long for others to give back.
-    pub fn take(self: &Arc<Room>, n: usize, wait: Duration) -> Option<Taken> {
-        self.add(n, wait).then(|| Taken(self.clone(), n))
+    pub fn take(self: &Arc<MemoryBudget>, n: usize, wait: Duration) -> Option<MemoryReservation> {
+        self.add(n, wait).then(|| MemoryReservation(self.clone(), n))
     }
 }
 
-impl Taken {
+impl MemoryReservation {
     /// Makes it at least so large.
     pub fn reach(&mut self, n: usize, wait: Duration) -> bool {
         let more = n.saturating_sub(self.1);
@@ -49,7 +49,7 @@
     }
 }
 
-impl Drop for Taken {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         *self.0.taken.lock().expect("no thread panics with it") -= self.1;
         self.0.freed.notify_all();
@@ -62,7 +62,7 @@
 
     #[test]
     fn given_a_full_room_then_nobody_gets_in_until_somebody_leaves() {
-        let (r, no) = (Room::new(100), Duration::ZERO);
+        let (r, no) = (MemoryBudget::new(100), Duration::ZERO);
         let a = r.take(60, no).expect("there is room");
         let mut b = r.take(30, no).expect("there is room");
         assert!(!b.reach(41, no) && b.reach(40, no) && r.take(1, no).is_none());
--- a/crates/runtime/src/metrics.rs
+++ b/crates/runtime/src/metrics.rs
@@ -1,7 +1,7 @@
 //! The figures of a process, as text in the OpenMetrics format.
 use crate::front::Reply;
 use crate::shell::Handle;
-use control_state::{Ask, Heads, Health, Receipt};
+use control_state::{Ask, Headers, Health, NodeReply};
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::{text, DescriptorEncoder, EncodeMetric};
 use prometheus_client::metrics::gauge::ConstGauge;
@@ -35,7 +35,7 @@
 
 fn health(part: &Handle) -> Option<Health> {
     match part.ask(Ask::Ready, PART_ANSWER) {
-        Some(Receipt::Health(health)) => Some(health),
+        Some(NodeReply::Health(health)) => Some(health),
         _ => None,
     }
 }
@@ -66,7 +66,7 @@
     let mut body = String::new();
     match text::encode(&mut body, registry) {
         Ok(()) => {
-            let heads = Heads::default().with("content-type", CONTENT_TYPE);
+            let heads = Headers::default().with("content-type", CONTENT_TYPE);
             Reply::new(200, heads, Arc::new(body.into_bytes()))
         }
         Err(_) => Reply::problem(500, "unreadable", "the figures could not be written as text"),
--- a/crates/runtime/src/net/class.rs
+++ b/crates/runtime/src/net/class.rs
@@ -20,7 +20,7 @@
     /// Of a message that is so many bytes long.
     pub(super) fn of(m: &Msg, bytes: usize) -> LinkClass {
         match m {
-            Msg::CopyGot { .. } if bytes >= BULK_BYTES => LinkClass::Bulk,
+            Msg::CopyResult { .. } if bytes >= BULK_BYTES => LinkClass::Bulk,
             _ => LinkClass::Ordinary,
         }
     }
@@ -28,7 +28,7 @@
 
 /// The first frame of a connection: who sends, and what.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Greeting {
+pub struct Handshake {
     /// Where the sender listens itself.
     pub from: Addr,
     /// What it sends here.
--- a/crates/runtime/src/net/counts.rs
+++ b/crates/runtime/src/net/counts.rs
@@ -1,6 +1,6 @@
 //! Counters of one part's links.
 use super::PartLinkMetrics;
-use crate::frame::FrameProblem;
+use crate::frame::FrameError;
 use slog::{warn, Logger};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
@@ -67,9 +67,9 @@
 impl Counts {
     /// A connection ended for a frame that is not right; the first one of another version
     /// is named in the log.
-    pub(super) fn refused(&self, problem: &FrameProblem) {
+    pub(super) fn refused(&self, problem: &FrameError) {
         count(&self.bad_frames, 1);
-        if !matches!(problem, FrameProblem::OtherVersion { .. }) {
+        if !matches!(problem, FrameError::VersionMismatch { .. }) {
             return;
         }
         let first = self.other_versions.fetch_add(1, Ordering::Relaxed) == 0;
--- a/crates/runtime/src/net/decoder.rs
+++ b/crates/runtime/src/net/decoder.rs
@@ -1,5 +1,5 @@
 //! Finds whole frames in bytes that arrive in pieces.
-use crate::frame::{FrameHeader, FrameProblem};
+use crate::frame::{FrameError, FrameHeader};
 
 /// Holds what has arrived of a frame that is not yet whole; nothing between frames.
 #[derive(Default)]
@@ -9,7 +9,7 @@
 
 impl FrameDecoder {
     /// Takes bytes in and hands on the content of each frame they complete, in order.
-    pub(super) fn feed<E: From<FrameProblem>>(
+    pub(super) fn feed<E: From<FrameError>>(
         &mut self,
         bytes: &[u8],
         mut on_frame: impl FnMut(&[u8]) -> Result<(), E>,
@@ -32,7 +32,7 @@
 }
 
 /// Hands on every whole frame; tells how many bytes they took.
-fn decode<E: From<FrameProblem>>(
+fn decode<E: From<FrameError>>(
     bytes: &[u8],
     on_frame: &mut impl FnMut(&[u8]) -> Result<(), E>,
 ) -> Result<usize, E> {
--- a/crates/runtime/src/net/event_loop.rs
+++ b/crates/runtime/src/net/event_loop.rs
@@ -1,9 +1,9 @@
 //! The loop of the I/O thread. Sockets are registered edge-triggered: whoever is told
 //! that a socket is ready reads or writes it until the kernel has no more for it.
-use super::inbound::{Inbound, Listener, Turn};
+use super::inbound::{Inbound, Listener, ReadOutcome};
 use super::io_thread::{Command, IoThread, WAKER};
 use super::link::Link;
-use super::Greeting;
+use super::Handshake;
 use mio::event::Event;
 use mio::{Events, Interest, Poll, Token};
 use std::collections::{BTreeSet, HashMap};
@@ -54,7 +54,7 @@
     listeners: HashMap<Token, Listener>,
     inbound: HashMap<Token, Inbound>,
     /// The newest connection of each class from each sender to each listener.
-    newest: HashMap<(Token, Greeting), Token>,
+    newest: HashMap<(Token, Handshake), Token>,
     links: HashMap<Token, Arc<Link>>,
     deadlines: Deadlines,
     /// Connections that were not read to their end when others had their turn.
@@ -121,7 +121,7 @@
 
     fn on_deadline(&mut self, token: Token, now: Instant) {
         if let Some(link) = self.links.get(&token) {
-            let deadline = link.tend(now, self.poll.registry());
+            let deadline = link.drive_link(now, self.poll.registry());
             self.deadlines.set(token, deadline);
         } else if self.listeners.contains_key(&token) {
             self.accept(token);
@@ -130,7 +130,7 @@
 
     fn obey(&mut self, c: Command) {
         match c {
-            Command::Tend(link) => {
+            Command::DriveLink(link) => {
                 let token = link.token;
                 self.links.entry(token).or_insert(link);
                 self.on_deadline(token, Instant::now());
@@ -176,17 +176,17 @@
         let turn = inbound.read(&mut self.scratch, ending);
         let sender = inbound.from.map(|from| (inbound.listener, from));
         match turn {
-            Turn::Drained => (),
-            Turn::More => self.unread.push(token),
-            Turn::Ended => self.close(token),
+            ReadOutcome::Drained => (),
+            ReadOutcome::More => self.unread.push(token),
+            ReadOutcome::Ended => self.close(token),
         }
-        if let Some(sender) = sender.filter(|_| !known && turn != Turn::Ended) {
+        if let Some(sender) = sender.filter(|_| !known && turn != ReadOutcome::Ended) {
             self.supersede(sender, token);
         }
     }
 
     /// A sender connects anew only when it has given up its former connection.
-    fn supersede(&mut self, sender: (Token, Greeting), token: Token) {
+    fn supersede(&mut self, sender: (Token, Handshake), token: Token) {
         if let Some(old) = self.newest.insert(sender, token) {
             self.close(old);
         }
--- a/crates/runtime/src/net/expiry.rs
+++ b/crates/runtime/src/net/expiry.rs
@@ -12,12 +12,12 @@
 
 pub(crate) fn lifetime(m: &Msg) -> Duration {
     match m {
-        Msg::Beats(..)
+        Msg::Heartbeats(..)
         | Msg::Unjoined(_)
-        | Msg::Roster(..)
+        | Msg::Membership(..)
         | Msg::Found(_)
         | Msg::Landed(_)
-        | Msg::AskLeadership { .. }
+        | Msg::LeadershipRequest { .. }
         | Msg::LeadershipVote { .. }
         | Msg::Sub(_)
         | Msg::Got { .. }
--- a/crates/runtime/src/net/inbound.rs
+++ b/crates/runtime/src/net/inbound.rs
@@ -1,7 +1,7 @@
 //! The receiving side: listeners, and the connections they accept.
 use super::decoder::FrameDecoder;
-use super::{count, Counts, Greeting};
-use crate::frame::{decode, FrameProblem};
+use super::{count, Counts, Handshake};
+use crate::frame::{decode, FrameError};
 use control_state::Msg;
 use mio::net::{TcpListener, TcpStream};
 use mio::Token;
@@ -32,7 +32,7 @@
 
 /// Whether a connection's turn has left something to read.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub(super) enum Turn {
+pub(super) enum ReadOutcome {
     /// All that had arrived is read.
     Drained,
     /// There may be more.
@@ -42,13 +42,13 @@
 
 /// Why reading stops for good.
 enum Stop {
-    BadFrame(FrameProblem),
+    BadFrame(FrameError),
     /// The part takes no more.
     Refused,
 }
 
-impl From<FrameProblem> for Stop {
-    fn from(problem: FrameProblem) -> Stop {
+impl From<FrameError> for Stop {
+    fn from(problem: FrameError) -> Stop {
         Stop::BadFrame(problem)
     }
 }
@@ -57,7 +57,7 @@
 pub(super) struct Inbound {
     stream: TcpStream,
     pub(super) listener: Token,
-    pub(super) from: Option<Greeting>,
+    pub(super) from: Option<Handshake>,
     decoder: FrameDecoder,
     counts: Arc<Counts>,
     take: Rc<Take>,
@@ -79,24 +79,24 @@
 
     /// Reads what has arrived, up to a bound. `ending` tells that the peer has closed,
     /// so that a short read is not the last one.
-    pub(super) fn read(&mut self, scratch: &mut [u8], ending: bool) -> Turn {
+    pub(super) fn read(&mut self, scratch: &mut [u8], ending: bool) -> ReadOutcome {
         for _ in 0..READS_PER_TURN {
             match self.stream.read(scratch) {
-                Ok(0) => return Turn::Ended,
+                Ok(0) => return ReadOutcome::Ended,
                 Ok(n) => {
                     if !self.feed(&scratch[..n]) {
-                        return Turn::Ended;
+                        return ReadOutcome::Ended;
                     }
                     if n < scratch.len() && !ending {
-                        return Turn::Drained;
+                        return ReadOutcome::Drained;
                     }
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Turn::Drained,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return ReadOutcome::Drained,
                 Err(e) if e.kind() == ErrorKind::Interrupted => (),
-                Err(_) => return Turn::Ended,
+                Err(_) => return ReadOutcome::Ended,
             }
         }
-        Turn::More
+        ReadOutcome::More
     }
 
     fn feed(&mut self, bytes: &[u8]) -> bool {
@@ -109,8 +109,8 @@
     }
 }
 
-fn on_frame(content: &[u8], from: &mut Option<Greeting>, counts: &Counts, take: &Take) -> Result<(), Stop> {
-    let Some(Greeting { from: sender, .. }) = *from else {
+fn on_frame(content: &[u8], from: &mut Option<Handshake>, counts: &Counts, take: &Take) -> Result<(), Stop> {
+    let Some(Handshake { from: sender, .. }) = *from else {
         *from = Some(decode(content)?);
         return Ok(());
     };
--- a/crates/runtime/src/net/io_thread.rs
+++ b/crates/runtime/src/net/io_thread.rs
@@ -20,7 +20,7 @@
         take: Box<Take>,
     },
     /// A link has something queued that its sender could not write.
-    Tend(Arc<Link>),
+    DriveLink(Arc<Link>),
 }
 
 /// Speaks to the I/O thread from any thread.
@@ -52,8 +52,8 @@
         Token(self.next_token.fetch_add(1, Ordering::Relaxed))
     }
 
-    pub(super) fn tend(&self, link: Arc<Link>) {
-        self.submit(Command::Tend(link));
+    pub(super) fn drive_link(&self, link: Arc<Link>) {
+        self.submit(Command::DriveLink(link));
     }
 
     pub(super) fn listen(&self, listener: TcpListener, counts: Arc<Counts>, take: Box<Take>) {
--- a/crates/runtime/src/net/link.rs
+++ b/crates/runtime/src/net/link.rs
@@ -45,13 +45,13 @@
 pub(super) struct Link {
     pub(super) token: Token,
     to: Addr,
-    greeting: Vec<u8>,
+    handshake: Vec<u8>,
     counts: Arc<Counts>,
     state: Mutex<LinkState>,
 }
 
 impl Link {
-    pub(super) fn new(token: Token, to: Addr, greeting: Vec<u8>, counts: Arc<Counts>) -> Link {
+    pub(super) fn new(token: Token, to: Addr, handshake: Vec<u8>, counts: Arc<Counts>) -> Link {
         let state = Mutex::new(LinkState {
             queue: SendQueue::default(),
             connection: Connection::Closed { retry_at: None },
@@ -60,7 +60,7 @@
             touched: false,
             expired_at: Instant::now(),
         });
-        Link { token, to, greeting, counts, state }
+        Link { token, to, handshake, counts, state }
     }
 
     fn lock(&self) -> MutexGuard<'_, LinkState> {
@@ -109,7 +109,7 @@
     }
 
     /// On the I/O thread: does what is to be done by now; tells when to come again.
-    pub(super) fn tend(&self, now: Instant, registry: &Registry) -> Option<Instant> {
+    pub(super) fn drive_link(&self, now: Instant, registry: &Registry) -> Option<Instant> {
         let mut s = self.lock();
         // The kernel tells of room only when there is a lot of it.
         if let Connection::Open { blocked, .. } = &mut s.connection {
@@ -198,7 +198,7 @@
         let Connection::Connecting { stream, .. } = &s.connection else { return };
         match stream.take_error().and_then(|e| e.map_or_else(|| stream.peer_addr(), Err)) {
             Ok(_) => {
-                s.queue.restart(&self.greeting);
+                s.queue.restart(&self.handshake);
                 let old = std::mem::replace(&mut s.connection, Connection::Closed { retry_at: None });
                 if let Connection::Connecting { stream, .. } = old {
                     s.connection = Connection::Open { stream, since: now, progress: now, blocked: false };
--- a/crates/runtime/src/net/metrics.rs
+++ b/crates/runtime/src/net/metrics.rs
@@ -1,5 +1,5 @@
 //! Figures of what the links of a process send.
-use primitives::metrics::{wait_family, WaitFamily};
+use primitives::metrics::{wait_histograms, WaitHistograms};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -23,12 +23,12 @@
 pub struct LinkMetrics {
     messages: Family<MessageLabels, Counter>,
     bytes: Family<MessageLabels, Counter>,
-    waits: WaitFamily<PartLabels>,
+    waits: WaitHistograms<PartLabels>,
 }
 
 impl Default for LinkMetrics {
     fn default() -> LinkMetrics {
-        LinkMetrics { messages: Family::default(), bytes: Family::default(), waits: wait_family() }
+        LinkMetrics { messages: Family::default(), bytes: Family::default(), waits: wait_histograms() }
     }
 }
 
--- a/crates/runtime/src/net/send_queue.rs
+++ b/crates/runtime/src/net/send_queue.rs
@@ -40,7 +40,7 @@
     frames: VecDeque<QueuedFrame>,
     bytes: usize,
     /// A greeting to be written ahead of all frames.
-    greeting: Vec<u8>,
+    handshake: Vec<u8>,
     /// Bytes written of the greeting, or else of the first frame. Invariant: a frame of
     /// which a part was written is never dropped, for the peer waits for its rest.
     written: usize,
@@ -63,7 +63,7 @@
 
     /// Frames that must stay: the first one if a part of it was written.
     fn begun(&self) -> usize {
-        (self.greeting.is_empty() && self.written > 0) as usize
+        (self.handshake.is_empty() && self.written > 0) as usize
     }
 
     /// Appends a frame; tells how many old ones had to go for it.
@@ -95,8 +95,8 @@
     }
 
     /// For a new connection: the greeting first, then every frame from its first byte.
-    pub(super) fn restart(&mut self, greeting: &[u8]) {
-        self.greeting = greeting.to_vec();
+    pub(super) fn restart(&mut self, handshake: &[u8]) {
+        self.handshake = handshake.to_vec();
         self.written = 0;
     }
 
@@ -110,8 +110,8 @@
     ) -> io::Result<Written> {
         loop {
             let due = self.frames.iter().take_while(|f| f.due <= now).map(|f| &f.bytes);
-            let greeting = Some(&self.greeting).filter(|g| !g.is_empty());
-            let mut all = greeting.into_iter().chain(due).take(FRAMES_PER_WRITE);
+            let handshake = Some(&self.handshake).filter(|g| !g.is_empty());
+            let mut all = handshake.into_iter().chain(due).take(FRAMES_PER_WRITE);
             let Some(first) = all.next() else { return Ok(Written::All) };
             let mut slices = vec![IoSlice::new(&first[self.written..])];
             slices.extend(all.map(|f| IoSlice::new(f)));
@@ -129,12 +129,12 @@
     /// So many more bytes were written.
     fn advance(&mut self, n: usize, now: Instant, metrics: &PartLinkMetrics) {
         self.written += n;
-        if !self.greeting.is_empty() {
-            if self.written < self.greeting.len() {
+        if !self.handshake.is_empty() {
+            if self.written < self.handshake.len() {
                 return;
             }
-            self.written -= self.greeting.len();
-            self.greeting = Vec::new();
+            self.written -= self.handshake.len();
+            self.handshake = Vec::new();
         }
         while self.frames.front().is_some_and(|f| self.written >= f.bytes.len()) {
             let Some(done) = self.frames.pop_front() else { return };
--- a/crates/runtime/src/wire.rs
+++ b/crates/runtime/src/origin_client.rs
@@ -79,17 +79,17 @@
 }
 
 /// From now on this thread's round may leave until then.
-pub(crate) fn may_leave(until: Mono) {
+pub(crate) fn set_send_deadline(until: Mono) {
     LEAVE.set((until, false));
     ENDED.set(false);
 }
 
 /// Whether a byte of this thread's round has left.
-pub(crate) fn has_left() -> bool {
+pub(crate) fn any_bytes_sent() -> bool {
     LEAVE.get().1
 }
 
 /// Whether all that the origin of this thread's round sends was read to its connection's end.
-pub(crate) fn has_ended() -> bool {
+pub(crate) fn peer_closed() -> bool {
     ENDED.get()
 }
--- a/crates/runtime/src/whole.rs
+++ b/crates/runtime/src/origin_response.rs
@@ -1,11 +1,11 @@
 //! Reading an origin's answer: whole, or not at all.
-use crate::wire::has_ended;
-use control_state::{agrees, Heads, Whole};
+use crate::origin_client::peer_closed;
+use control_state::{content_digests_match, Headers, Whole};
 use std::io::Read;
 use std::sync::Arc;
 use ureq::http::{HeaderMap, Response};
 
-pub enum Came {
+pub enum ResponseRead {
     Whole(Whole),
     TooLarge,
     /// It broke off, or what was said of it does not agree with what came.
@@ -44,45 +44,45 @@
     resp: &mut Response<ureq::Body>,
     most: usize,
     room: &mut dyn FnMut(usize) -> bool,
-) -> Came {
+) -> ResponseRead {
     let status = resp.status().as_u16();
     let frame = frame(method, status, resp.headers());
-    let mut heads = Heads::default();
+    let mut heads = Headers::default();
     resp.headers().iter().for_each(|(n, v)| heads.push(n.as_str(), v.as_bytes()));
-    let end = |body: Vec<u8>, heads: &Heads| {
+    let end = |body: Vec<u8>, heads: &Headers| {
         // A HEAD's length is told apart from its body, which there is none of.
         let length = heads.get("content-length").filter(|_| method == "HEAD").map(str::to_string);
         let mut kept = heads.end_to_end();
         length.into_iter().for_each(|n| kept.push("lanewing-length", n));
-        Came::Whole(Whole { status, heads: kept, body: Arc::new(body), ..Whole::default() })
+        ResponseRead::Whole(Whole { status, heads: kept, body: Arc::new(body), ..Whole::default() })
     };
     let size = match frame {
         Frame::Bare => return end(vec![], &heads),
-        Frame::Doubtful => return Came::Broken,
-        Frame::Sized(n) if n > most as u64 => return Came::TooLarge,
+        Frame::Doubtful => return ResponseRead::Broken,
+        Frame::Sized(n) if n > most as u64 => return ResponseRead::TooLarge,
         Frame::Sized(n) => Some(n as usize),
         Frame::Chunked => None,
     };
     let mut body = Vec::new();
     if !room(size.unwrap_or(STEP.min(most))) {
-        return Came::Broken;
+        return ResponseRead::Broken;
     }
     let mut r = resp.body_mut().as_reader().take(most as u64 + 1);
     loop {
         let got = r.by_ref().take(STEP as u64).read_to_end(&mut body);
         match got {
-            Err(_) => return Came::Broken,
+            Err(_) => return ResponseRead::Broken,
             Ok(0) => break,
-            Ok(_) if body.len() > most => return Came::TooLarge,
-            Ok(_) if size.is_none() && !room((body.len() + STEP).min(most)) => return Came::Broken,
+            Ok(_) if body.len() > most => return ResponseRead::TooLarge,
+            Ok(_) if size.is_none() && !room((body.len() + STEP).min(most)) => return ResponseRead::Broken,
             Ok(_) => (),
         }
     }
     // Past its last chunk the library takes the connection's end for the answer's.
-    let complete = size.map_or(!has_ended(), |n| n == body.len());
-    if complete && agrees(&heads, status, &body) {
+    let complete = size.map_or(!peer_closed(), |n| n == body.len());
+    if complete && content_digests_match(&heads, status, &body) {
         end(body, &heads)
     } else {
-        Came::Broken
+        ResponseRead::Broken
     }
 }
--- a/crates/runtime/src/intake.rs
+++ b/crates/runtime/src/request_parser.rs
@@ -1,8 +1,8 @@
 //! Taking a request apart: what is not plainly one request is denied, unsent.
 use crate::front::Reply;
-use crate::room::{Room, Taken};
-use control_state::Heads;
-use primitives::{parse, Look, LookProblem};
+use crate::memory_budget::{MemoryBudget, MemoryReservation};
+use control_state::Headers;
+use primitives::{parse, JsonError, Look};
 use std::io::{Error, Read};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,21 +15,21 @@
     pub path: String,
     pub key: Option<String>,
     /// All fields, as they came.
-    pub heads: Heads,
+    pub heads: Headers,
     pub body: Vec<u8>,
     pub peer: Option<SocketAddr>,
     /// The body's room.
-    pub hold: Option<Taken>,
+    pub hold: Option<MemoryReservation>,
 }
 
 /// Why it is not taken; with `cut`, the connection cannot be trusted any more.
-pub struct Amiss {
+pub struct RequestRejection {
     pub reply: Reply,
     pub cut: bool,
 }
 
-fn amiss(status: u16, name: &str, why: &str, cut: bool) -> Amiss {
-    Amiss { reply: Reply::problem(status, name, why), cut }
+fn amiss(status: u16, name: &str, why: &str, cut: bool) -> RequestRejection {
+    RequestRejection { reply: Reply::problem(status, name, why), cut }
 }
 
 const HEADS: usize = 16 << 10;
@@ -38,9 +38,9 @@
 const KEY: usize = 200;
 
 impl Call {
-    pub fn json<T>(&self, read: impl FnOnce(&Look) -> Result<T, LookProblem>) -> Result<T, Reply> {
+    pub fn json<T>(&self, read: impl FnOnce(&Look) -> Result<T, JsonError>) -> Result<T, Reply> {
         let s = String::from_utf8_lossy(&self.body);
-        let bad = |p: LookProblem| Reply::problem(400, "invalid", p);
+        let bad = |p: JsonError| Reply::problem(400, "invalid", p);
         parse(&s).and_then(|v| read(&Look::at(&v, ""))).map_err(bad)
     }
 }
@@ -52,7 +52,7 @@
     Chunked,
 }
 
-pub(crate) fn framing(h: &Heads) -> Result<Body, &'static str> {
+pub(crate) fn framing(h: &Headers) -> Result<Body, &'static str> {
     let (lengths, codings) = (h.all("content-length").collect::<Vec<_>>(), h.all("transfer-encoding"));
     let codings: Vec<String> = codings.map(|v| String::from_utf8_lossy(v).to_ascii_lowercase()).collect();
     let digits = |v: &[u8]| v.len() <= 15 && !v.is_empty() && v.iter().all(u8::is_ascii_digit);
@@ -99,8 +99,8 @@
     !n.is_empty() && n.bytes().all(|b| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b))
 }
 
-fn fields(req: &Request) -> Result<Heads, Amiss> {
-    let mut h = Heads::default();
+fn fields(req: &Request) -> Result<Headers, RequestRejection> {
+    let mut h = Headers::default();
     for f in req.headers() {
         let (n, v) = (f.field.as_str().as_str(), f.value.as_str());
         let control = v.bytes().any(|b| b != b'\t' && b.is_ascii_control());
@@ -116,7 +116,7 @@
 }
 
 /// One key, if any, of printable characters.
-fn key(h: &Heads) -> Result<Option<String>, &'static str> {
+fn key(h: &Headers) -> Result<Option<String>, &'static str> {
     let all: Vec<&[u8]> = h.all("idempotency-key").collect();
     let good = |k: &[u8]| !k.is_empty() && k.len() <= KEY && k.iter().all(u8::is_ascii_graphic);
     match all.as_slice() {
@@ -139,13 +139,13 @@
     method: String,
     path: String,
     key: Option<String>,
-    heads: Heads,
+    heads: Headers,
     /// None if it comes in chunks.
     size: Option<usize>,
 }
 
 /// Never waits, so heads can be looked at one after the other, in their order.
-pub fn head(req: &Request, most: usize) -> Result<Head, Amiss> {
+pub fn head(req: &Request, most: usize) -> Result<Head, RequestRejection> {
     let heads = fields(req)?;
     let invalid = |why: &str| amiss(400, "invalid", why, false);
     let framed = framing(&heads).map_err(|why| amiss(400, "invalid", why, true))?;
@@ -180,16 +180,21 @@
     Ok(Head { method, path: req.url()[1..].to_string(), key, heads, size })
 }
 
-pub(crate) fn large(most: usize) -> Amiss {
+pub(crate) fn large(most: usize) -> RequestRejection {
     amiss(413, "too large", &format!("bodies may have {most} bytes"), true)
 }
 
 /// Reads the body, which may take as long as its sender likes.
-pub fn take(req: &mut Request, h: Head, most: usize, room: &Arc<Room>) -> Result<Call, Amiss> {
+pub fn take(
+    req: &mut Request,
+    h: Head,
+    most: usize,
+    room: &Arc<MemoryBudget>,
+) -> Result<Call, RequestRejection> {
     let Head { method, path, key, heads, size } = h;
     let busy = || {
         let reply = Reply::problem(503, "denied", "no room for the body now").after(1);
-        Amiss { reply, cut: true }
+        RequestRejection { reply, cut: true }
     };
     let hold = room.take(size.unwrap_or(most), Duration::from_secs(1)).ok_or_else(busy)?;
     let peer = req.remote_addr().copied();
@@ -220,7 +225,7 @@
 
     #[test]
     fn given_framing_in_doubt_then_it_is_denied() {
-        let h = |l: &[(&str, &str)]| l.iter().fold(Heads::default(), |h, (n, v)| h.with(n, *v));
+        let h = |l: &[(&str, &str)]| l.iter().fold(Headers::default(), |h, (n, v)| h.with(n, *v));
         assert!(framing(&h(&[("content-length", "5")])).is_ok());
         assert!(framing(&h(&[("transfer-encoding", "Chunked")])).is_ok());
         for bad in [
--- a/crates/runtime/src/env.rs
+++ b/crates/runtime/src/settings.rs
@@ -1,17 +1,17 @@
 //! The settings file: read by hand, checked whole.
 use control_state::{Role, Zone};
-use primitives::{parse, Addr, Look, LookProblem, NodeId, Reason, Span};
+use primitives::{parse, Addr, JsonError, Look, NodeId, Reason, Span};
 use snafu::{ResultExt, Snafu};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tinyjson::JsonValue;
 
 #[derive(Debug, Snafu)]
-pub enum EnvProblem {
+pub enum SettingsError {
     #[snafu(display("{}: {source}", path.display()))]
     Unreadable { path: PathBuf, source: std::io::Error },
     #[snafu(display("{}: {source}", path.display()))]
-    Invalid { path: PathBuf, source: LookProblem },
+    Invalid { path: PathBuf, source: JsonError },
     #[snafu(display("node {node} is not in the settings file"))]
     NoSuchNode { node: u16 },
     #[snafu(display("node {node} is a {is}, not a {asked}"))]
@@ -76,7 +76,7 @@
     ROLES.iter().find(|(_, x)| *x == r).map_or("", |(n, _)| n)
 }
 
-type Result<T> = std::result::Result<T, LookProblem>;
+type Result<T> = std::result::Result<T, JsonError>;
 
 fn limits(l: &Look) -> Result<Limits> {
     let names =
@@ -126,7 +126,7 @@
 }
 
 /// Reads settings; every node and address may stand there only once.
-pub fn read_env(l: &Look) -> Result<Env> {
+pub fn read_settings(l: &Look) -> Result<Env> {
     l.only(&["deployment", "limits", "nodes", "distances", "rehearsal"])?;
     let none = JsonValue::from(std::collections::HashMap::new());
     let lim = l.opt("limits")?.unwrap_or(Look::at(&none, "limits"));
@@ -155,16 +155,16 @@
 }
 
 impl Env {
-    pub fn load(path: &Path) -> std::result::Result<Env, EnvProblem> {
+    pub fn load(path: &Path) -> std::result::Result<Env, SettingsError> {
         let s = std::fs::read_to_string(path).context(UnreadableSnafu { path })?;
-        parse(&s).and_then(|v| read_env(&Look::at(&v, ""))).context(InvalidSnafu { path })
+        parse(&s).and_then(|v| read_settings(&Look::at(&v, ""))).context(InvalidSnafu { path })
     }
 
-    pub fn place(&self, node: u16, role: Role) -> std::result::Result<Place, EnvProblem> {
+    pub fn place(&self, node: u16, role: Role) -> std::result::Result<Place, SettingsError> {
         let p = self.nodes.iter().find(|p| p.node == NodeId(node as u64)).cloned();
-        let p = p.ok_or(EnvProblem::NoSuchNode { node })?;
+        let p = p.ok_or(SettingsError::NoSuchNode { node })?;
         let (is, asked) = (role_name(p.role).to_string(), role_name(role).to_string());
-        (p.role == role).then_some(p).ok_or(EnvProblem::OtherRole { node, is, asked })
+        (p.role == role).then_some(p).ok_or(SettingsError::OtherRole { node, is, asked })
     }
 
     /// The simulated one-way distance between two zones.
--- a/crates/runtime/src/shell.rs
+++ b/crates/runtime/src/shell.rs
@@ -4,15 +4,15 @@
 mod handle;
 mod inbox;
 
-pub use disk::{pack_one, unpack};
+pub use disk::{encode_single_entry, unpack};
 pub use handle::{Event, Handle};
 
+use crate::disk_log::DiskLog;
 use crate::net::expiry::lifetime;
 use crate::net::{self, Counts, Net};
 use crate::process;
-use crate::ring::Ring;
 use control_state::*;
-use disk::keep_disk;
+use disk::run_disk_thread;
 use inbox::{Inbox, Waiting};
 use primitives::{Addr, Token};
 use slog::{error, info, Logger};
@@ -29,7 +29,7 @@
 pub struct Frame {
     pub part: Box<dyn Part>,
     pub first: Vec<Out>,
-    pub ring: Option<Ring>,
+    pub ring: Option<DiskLog>,
     pub net: Net,
     /// Where rounds go to be run.
     pub rounds: Option<Sender<Round>>,
@@ -50,7 +50,7 @@
     /// Has heard something since its last tick.
     active: bool,
     rounds: Option<Sender<Round>>,
-    asks: HashMap<Token, Sender<Receipt>>,
+    asks: HashMap<Token, Sender<NodeReply>>,
     next: u64,
     waiting: Waiting,
     log: Logger,
@@ -184,7 +184,7 @@
         match o {
             Out::Send(to, m) | Out::SendNow(to, m) => self.net.queue(to, &m),
             Out::Tell(t, mut r) => {
-                if let Receipt::Health(health) = &mut r {
+                if let NodeReply::Health(health) = &mut r {
                     health.counts.extend(self.figures());
                 }
                 if let Some(tx) = self.asks.remove(&t) {
@@ -221,7 +221,7 @@
     let chan = Inbox::new(events, waiting);
     let (tell, dlog) = (chan.clone(), log.clone());
     if let Some(r) = ring {
-        thread::spawn(move || keep_disk(r, rx, tell, dlog));
+        thread::spawn(move || run_disk_thread(r, rx, tell, dlog));
     }
     let take = chan.clone();
     let _ = counts.log.set(log.clone());
--- a/crates/runtime/src/shell/disk.rs
+++ b/crates/runtime/src/shell/disk.rs
@@ -1,13 +1,13 @@
 //! The disk's thread, and how batches of records are written.
 use super::inbox::Inbox;
 use super::Event;
-use crate::ring::{Ring, RingProblem};
+use crate::disk_log::{DiskLog, DiskLogError};
 use control_state::Out;
 use slog::{error, Logger};
 use std::sync::mpsc::Receiver;
 
 /// Writes each batch, syncs it, says so.
-pub(super) fn keep_disk(mut ring: Ring, rx: Receiver<Vec<Out>>, tell: Inbox, log: Logger) {
+pub(super) fn run_disk_thread(mut ring: DiskLog, rx: Receiver<Vec<Out>>, tell: Inbox, log: Logger) {
     for batch in rx {
         let r = write(&mut ring, batch);
         if let Err(p) = &r {
@@ -17,14 +17,14 @@
     }
 }
 
-fn write(ring: &mut Ring, batch: Vec<Out>) -> Result<(), RingProblem> {
+fn write(ring: &mut DiskLog, batch: Vec<Out>) -> Result<(), DiskLogError> {
     let mut plain: Vec<Vec<u8>> = vec![];
     for o in batch {
         match o {
             Out::Base(b) => {
                 // All before it is void now, written or not.
                 plain.clear();
-                ring.base(&pack_one(b))?;
+                ring.base(&encode_single_entry(b))?;
             }
             Out::Save(b) => plain.push(b),
             _ => (),
@@ -42,7 +42,7 @@
 }
 
 /// As `pack` packs one entry, in its own memory: a base may be large.
-pub fn pack_one(mut entry: Vec<u8>) -> Vec<u8> {
+pub fn encode_single_entry(mut entry: Vec<u8>) -> Vec<u8> {
     const ONE: usize = 1;
     let ahead = postcard::to_stdvec(&(ONE, entry.len())).expect("numbers always encode");
     entry.splice(0..0, ahead);
--- a/crates/runtime/src/shell/handle.rs
+++ b/crates/runtime/src/shell/handle.rs
@@ -11,7 +11,7 @@
 pub enum Event {
     /// With the time of its arrival.
     Msg(Addr, Msg, Instant),
-    Ask(Ask, Sender<Receipt>),
+    Ask(Ask, Sender<NodeReply>),
     Synced(bool),
     Stop,
 }
@@ -25,7 +25,7 @@
         Handle(events, Arc::default())
     }
     /// Asks and waits for the receipt, at most so long.
-    pub fn ask(&self, a: Ask, wait: Duration) -> Option<Receipt> {
+    pub fn ask(&self, a: Ask, wait: Duration) -> Option<NodeReply> {
         let (tx, rx) = channel();
         self.0.send(Event::Ask(a, tx));
         rx.recv_timeout(wait).ok()
@@ -33,7 +33,7 @@
     /// What callers may send, where the part says so.
     pub fn limits(&self) -> Option<CallerLimits> {
         match self.ask(Ask::Limits, Duration::from_millis(200)) {
-            Some(Receipt::Limits(l)) => l,
+            Some(NodeReply::Limits(l)) => l,
             _ => None,
         }
     }
--- a/crates/runtime/src/shell/inbox.rs
+++ b/crates/runtime/src/shell/inbox.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 /// Events that may wait; no more messages are taken beside them.
-const MOST_WAITING: usize = 4096;
+const MAX_WAITING_PIECES: usize = 4096;
 
 /// Events sent to an actor and not yet handled.
 #[derive(Clone, Default)]
@@ -41,7 +41,7 @@
     /// A message that arrived; it is dropped if the actor has fallen far behind, for any
     /// message may be lost. False once the actor is gone.
     pub(super) fn offer(&self, from: Addr, message: Msg, counts: &Counts) -> bool {
-        if self.waiting.count() >= MOST_WAITING {
+        if self.waiting.count() >= MAX_WAITING_PIECES {
             counts.inbox_full.fetch_add(1, Relaxed);
             return true;
         }
--- a/crates/scale-model/src/delivery.rs
+++ b/crates/scale-model/src/delivery.rs
@@ -105,10 +105,10 @@
         }
     }
 
-    fn answered(&mut self, token: Token, receipt: Receipt) {
+    fn answered(&mut self, token: Token, receipt: NodeReply) {
         let Some(number) = self.asked.remove(&token) else { return };
         let change = &mut self.changes[number];
-        change.refused = !matches!(receipt, Receipt::Change(Verdict::Done(_)));
+        change.refused = !matches!(receipt, NodeReply::Change(Verdict::Done(_)));
         change.in_force = Some(self.now).filter(|_| !change.refused);
     }
 
--- a/crates/scale-model/src/fleet.rs
+++ b/crates/scale-model/src/fleet.rs
@@ -12,7 +12,7 @@
 const LEASE: Span = Span::secs(10);
 const KEY_WINDOW: Span = Span::secs(90);
 /// Bytes of records after which a disk is written anew.
-const BASE_AFTER: usize = 128 << 18;
+const COMPACT_AFTER_BYTES: usize = 128 << 18;
 const COPIES: usize = 64 << 20;
 /// Controllers that a node knows to begin with.
 const SEEDS: usize = 3;
@@ -37,10 +37,10 @@
         cut_at: 256,
         window: KEY_WINDOW,
         vanish: Span::secs(3),
-        base_after: BASE_AFTER,
+        compact_after_bytes: COMPACT_AFTER_BYTES,
         room: 192 << 20,
         contact_by_echo: true,
-        pace: caesar::Pace::default(),
+        pace: caesar::ReplicaConfig::default(),
     };
     let mut outputs = vec![];
     let kept = vec![controller::Kept::Base(birth(i), Box::new(state.clone()))];
@@ -51,7 +51,7 @@
 /// A node as it starts. Without `whole` an edge is a thin one; ledgers are always real.
 pub(crate) fn node(plan: &Plan, i: usize, whole: bool, now: Mono) -> Started {
     let role = role(plan, i);
-    let follow = FollowEnv {
+    let follow = FollowerEnv {
         id: NodeId(i as u64),
         role,
         addr: node_addr(i),
@@ -62,7 +62,7 @@
         life: i as u64 + 1,
         capacity: 1,
         lease: LEASE,
-        serve_on: false,
+        serve_without_lease: false,
     };
     match (role, whole) {
         (Role::Ledger, _) => ledger(i, follow, now),
@@ -71,17 +71,17 @@
     }
 }
 
-fn ledger(i: usize, follow: FollowEnv, now: Mono) -> Started {
+fn ledger(i: usize, follow: FollowerEnv, now: Mono) -> Started {
     let env = LedgerEnv {
         follow,
         window: KEY_WINDOW,
-        base_after: BASE_AFTER,
+        compact_after_bytes: COMPACT_AFTER_BYTES,
         room: 128 << 16,
         most: 20 << 20,
         boot: 1,
         losses: 1,
         leave: control_state::LEAVE,
-        sparing: false,
+        minimal_outcome_copies: false,
     };
     let mut outputs = vec![];
     let kept = vec![ledger::Kept::Birth(birth(i))];
@@ -89,7 +89,7 @@
     (SimulatedPart::Ledger(Box::new(ledger)), outputs)
 }
 
-fn edge(follow: FollowEnv) -> Edge {
+fn edge(follow: FollowerEnv) -> Edge {
     Edge::new(EdgeEnv {
         follow,
         fresh: Span::secs(1),
@@ -98,7 +98,7 @@
         hands: (256, 1024),
         grace: Span::secs(1),
         losses: 1,
-        stock: true,
+        disk_cache: true,
         leave: control_state::LEAVE,
         controller: None,
         policy: edge::EdgePolicy::default(),
--- a/crates/scale-model/src/lib.rs
+++ b/crates/scale-model/src/lib.rs
@@ -25,7 +25,7 @@
 pub use lookup_cost::lookups;
 pub use meter::{resident, Meter, Tally};
 pub use phases::run;
-pub use plan::{Plan, Result, ScaleModelProblem, CONTROLLERS};
+pub use plan::{Plan, Result, ScaleModelError, CONTROLLERS};
 pub use plot::plot;
 pub use relay::{Bundle, Relay, Word};
 pub use relay_cost::relays;
--- a/crates/scale-model/src/part.rs
+++ b/crates/scale-model/src/part.rs
@@ -14,11 +14,11 @@
 }
 
 /// Sends and receives what an edge does for its feeds and leases, and keeps no items.
-pub(crate) struct ThinEdge(Follow);
+pub(crate) struct ThinEdge(Follower);
 
 impl ThinEdge {
-    pub(crate) fn new(env: FollowEnv) -> ThinEdge {
-        ThinEdge(Follow::new(env))
+    pub(crate) fn new(env: FollowerEnv) -> ThinEdge {
+        ThinEdge(Follower::new(env))
     }
 
     fn step(&mut self, now: Mono, input: In, outputs: &mut Vec<Out>) {
--- a/crates/scale-model/src/plan.rs
+++ b/crates/scale-model/src/plan.rs
@@ -30,7 +30,7 @@
 /// Why a plan was not run.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum ScaleModelProblem {
+pub enum ScaleModelError {
     /// The size is not possible.
     #[snafu(display("{nodes} nodes: {why}; the largest that fits is {largest}"))]
     Size {
@@ -65,12 +65,12 @@
     #[snafu(display("{source}"), context(false))]
     Line {
         /// What is wrong with it.
-        source: primitives::LookProblem,
+        source: primitives::JsonError,
     },
 }
 
 /// What the functions of this crate return.
-pub type Result<T> = std::result::Result<T, ScaleModelProblem>;
+pub type Result<T> = std::result::Result<T, ScaleModelError>;
 
 /// The size and load of one run.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/scale-model/src/plot.rs
+++ b/crates/scale-model/src/plot.rs
@@ -1,6 +1,6 @@
 //! Cost over size, as SVG: one panel for each figure, both axes logarithmic.
 use crate::growth::spread;
-use crate::plan::{Result, ScaleModelProblem};
+use crate::plan::{Result, ScaleModelError};
 use crate::row::Row;
 use crate::table::{grouped, BySize, Figure, FIGURES};
 use plotters::coord::Shift;
@@ -55,7 +55,7 @@
 /// Plots the medians of all figures.
 pub fn plot(rows: &[Row]) -> Result<String> {
     let mut svg = String::new();
-    draw(rows, &mut svg).map_err(|error| ScaleModelProblem::Plot { what: error.to_string() })?;
+    draw(rows, &mut svg).map_err(|error| ScaleModelError::Plot { what: error.to_string() })?;
     Ok(svg)
 }
 
--- a/crates/scale-model/src/state.rs
+++ b/crates/scale-model/src/state.rs
@@ -65,8 +65,8 @@
 }
 
 /// The beat of an origin.
-pub(crate) fn beat(plan: &Plan, i: usize) -> Beat {
-    Beat {
+pub(crate) fn beat(plan: &Plan, i: usize) -> OriginHeartbeat {
+    OriginHeartbeat {
         svc: service(i % plan.services()),
         addr: addr(ORIGIN_NET, i),
         birth: birth(i),
@@ -95,7 +95,7 @@
 }
 
 fn origin(plan: &Plan, i: usize) -> (Key, Item) {
-    let Beat { svc, addr, birth, zone, cap, tag, .. } = beat(plan, i);
+    let OriginHeartbeat { svc, addr, birth, zone, cap, tag, .. } = beat(plan, i);
     let origin = Origin { svc, birth, zone, cap, tag, standing: Standing::Serving };
     entry(Key::Origin(addr), Body::Origin(origin))
 }
--- a/crates/simulator/src/carry.rs
+++ b/crates/simulator/src/carry.rs
@@ -13,7 +13,13 @@
             part.part().step(clock, i, &mut out);
         }
         let fresh = |o: &Out| {
-            matches!(o, Out::Tell(_, Receipt::Step(Step::Serve(_, Shared::Origin | Shared::Copy(_), _))))
+            matches!(
+                o,
+                Out::Tell(
+                    _,
+                    NodeReply::Step(Step::Serve(_, AnswerSource::Origin | AnswerSource::Copy(_), _))
+                )
+            )
         };
         let served = out.iter().any(fresh);
         let (immediate, ordered): (Vec<Out>, Vec<Out>) = out.into_iter().partition(Out::is_immediate);
--- a/crates/simulator/src/numbers.rs
+++ b/crates/simulator/src/numbers.rs
@@ -12,11 +12,11 @@
     /// What is wrong with an answer, after all answers before it.
     pub(crate) fn told(&mut self, seen: &Seen) -> Vec<String> {
         match (&seen.want, &seen.receipt) {
-            (Want::Change(Change { op: Op::Edit(edits), .. }), Receipt::Change(verdict)) => match verdict {
+            (Want::Change(Change { op: Op::Edit(edits), .. }), NodeReply::Change(verdict)) => match verdict {
                 Verdict::Done(_) => self.confirm(edits),
                 _ => self.refused(edits, verdict),
             },
-            (Want::Table | Want::Read, Receipt::Table(p, _)) => self.read_back(p),
+            (Want::Table | Want::Read, NodeReply::Table(p, _)) => self.read_back(p),
             _ => vec![],
         }
     }
--- a/crates/simulator/src/plan.rs
+++ b/crates/simulator/src/plan.rs
@@ -10,7 +10,7 @@
     /// Lost disks of ledgers borne at once.
     pub losses: usize,
     /// Ledgers keep copies.
-    pub stock: bool,
+    pub disk_cache: bool,
     pub drop: f64,
     /// Bytes a second that a process can send, if that is limited; and those that differ.
     pub link: Option<u64>,
@@ -39,7 +39,7 @@
     /// Bytes of copies that an edge keeps.
     pub copies: usize,
     /// Edges serve on while out of touch.
-    pub serve_on: bool,
+    pub serve_without_lease: bool,
     /// Controllers are not told of one another: the first seed founds, others join.
     pub open: Option<controller::Open>,
     /// Controllers prove their contact by echoes; see `controller`.
@@ -52,7 +52,7 @@
             edges: 5,
             ledgers: 6,
             losses: 1,
-            stock: true,
+            disk_cache: true,
             drop: 0.0,
             link: None,
             links: BTreeMap::new(),
@@ -71,7 +71,7 @@
             grace: Span::secs(1),
             policy: edge::EdgePolicy::default(),
             copies: 1 << 20,
-            serve_on: false,
+            serve_without_lease: false,
             open: None,
             contact_by_echo: true,
         }
--- a/crates/simulator/src/scope.rs
+++ b/crates/simulator/src/scope.rs
@@ -9,7 +9,7 @@
 }
 
 impl Scope {
-    pub(crate) fn takes(&self, q: &Req, w: &Whole) -> bool {
+    pub(crate) fn takes(&self, q: &CallerRequest, w: &Whole) -> bool {
         let bare = |s: &str| s.split('?').next().unwrap_or(s).to_string();
         match self {
             Scope::Prefix(p) => q.path.starts_with(p.as_str()),
--- a/crates/simulator/src/slots.rs
+++ b/crates/simulator/src/slots.rs
@@ -53,8 +53,8 @@
     pub(crate) fn unchanged(&mut self, g: Addr, life: u64, r: &Round, edition: u64) {
         self.count("unchanged");
         self.rules.same(self.now, r, edition);
-        let heads = Heads::default().with("etag", r.req.heads.get("if-none-match").unwrap_or_default());
+        let heads = Headers::default().with("etag", r.req.heads.get("if-none-match").unwrap_or_default());
         let w = Whole { heads, ..Whole::new(304, "", vec![]) };
-        self.report(g, life, r.n, Fetched::Whole(w));
+        self.report(g, life, r.n, FetchOutcome::Whole(w));
     }
 }
--- a/crates/simulator/src/trouble.rs
+++ b/crates/simulator/src/trouble.rs
@@ -104,7 +104,7 @@
         let of_control =
             |q: &Want| matches!(q, Want::Change(_) | Want::Table | Want::Read | Want::SignOff(_));
         let confirms = |s: &&Seen| {
-            let refused = matches!(s.receipt, Receipt::NotNow(_));
+            let refused = matches!(s.receipt, NodeReply::Unavailable(_));
             here(&s.at) && agreed(s.told) && of_control(&s.want) && !refused
         };
         let told =
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -19,7 +19,7 @@
     Arrive(Addr, u64, Round),
     /// Of which life and edition, and whether it gets through.
     Answer(Addr, u64, Round, (u64, u64), bool),
-    Beat(Addr, u64),
+    OriginHeartbeat(Addr, u64),
     Probe(Addr, u64),
     /// Something a story wants done then.
     Do(Box<dyn FnOnce(&mut World)>),
@@ -127,7 +127,7 @@
             Ev::Leave(g, life, r) => self.leave(g, life, r),
             Ev::Arrive(g, life, r) => self.arrive(g, life, r),
             Ev::Answer(g, life, r, of, whole) => self.answer(g, life, r, of, whole),
-            Ev::Beat(a, life) => self.beat(a, life),
+            Ev::OriginHeartbeat(a, life) => self.beat(a, life),
             Ev::Probe(a, life) => self.probe(a, life),
             Ev::Do(f) => f(self),
         }
