--- a/crates/stand-ins/src/mix.rs
+++ b/crates/stand-ins/src/mix.rs
@@ -1,6 +1,6 @@
 //! A deployment's own mix of requests, from the rehearsal part of its settings.
-use control_state::{read_row, Kind, Row};
-use primitives::{Addr, Look, LookProblem, Reason};
+use control_state::{parse_row, Kind, Row};
+use primitives::{Addr, JsonError, Look, Reason};
 use std::time::Duration;
 use tinyjson::JsonValue;
 
@@ -61,7 +61,7 @@
 }
 
 /// Reads the rehearsal part of a settings file. An error names the offending field.
-pub fn read_mix(look: &Look) -> Result<Mix, LookProblem> {
+pub fn read_mix(look: &Look) -> Result<Mix, JsonError> {
     look.only(&["origins", "table", "rate", "again", "mix"])?;
     let table: Vec<TableRow> = read_list(look, "table", read_table_row)?;
     Ok(Mix {
@@ -76,12 +76,12 @@
 fn read_list<T>(
     look: &Look,
     name: &str,
-    read: impl Fn(&Look) -> Result<T, LookProblem>,
-) -> Result<Vec<T>, LookProblem> {
+    read: impl Fn(&Look) -> Result<T, JsonError>,
+) -> Result<Vec<T>, JsonError> {
     look.field(name)?.list()?.iter().map(read).collect()
 }
 
-fn read_origin(look: &Look) -> Result<OriginSettings, LookProblem> {
+fn read_origin(look: &Look) -> Result<OriginSettings, JsonError> {
     look.only(&["service", "address", "zone", "cap", "work_ms"])?;
     Ok(OriginSettings {
         at: look.field("address")?.parsed("an address")?,
@@ -92,16 +92,16 @@
     })
 }
 
-fn read_table_row(look: &Look) -> Result<TableRow, LookProblem> {
+fn read_table_row(look: &Look) -> Result<TableRow, JsonError> {
     Ok(TableRow {
         lane: look.field("lane")?.name()?,
         svc: look.field("service")?.name()?,
-        row: read_row(look)?,
+        row: parse_row(look)?,
         json: look.v.clone(),
     })
 }
 
-fn read_share(look: &Look, table: &[TableRow]) -> Result<LaneShare, LookProblem> {
+fn read_share(look: &Look, table: &[TableRow]) -> Result<LaneShare, JsonError> {
     look.only(&["lane", "share", "objects"])?;
     let lane = look.field("lane")?;
     let name = lane.name()?;
--- a/crates/stand-ins/src/stub_origin/state.rs
+++ b/crates/stand-ins/src/stub_origin/state.rs
@@ -1,7 +1,7 @@
 //! What a stub origin counts, and the faults it is told to show.
 use crate::stub_origin::wall_ms;
 use control_state::{list, num, obj, text};
-use primitives::{Look, LookProblem};
+use primitives::{JsonError, Look};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use tinyjson::JsonValue;
@@ -29,7 +29,7 @@
 }
 
 impl Faults {
-    pub fn read(look: &Look) -> Result<Faults, LookProblem> {
+    pub fn read(look: &Look) -> Result<Faults, JsonError> {
         let number = |name: &str| look.opt(name)?.map_or(Ok(0), |value| value.num(0, MOST));
         Ok(Faults {
             slow_ms: number("slow_ms")?,
