--- a/crates/controller/src/acknowledgement.rs
+++ b/crates/controller/src/acknowledgement.rs
@@ -120,7 +120,7 @@
 
     /// Notes who must still learn of a command just applied. If nobody has to, that is said.
     pub(crate) fn note_lagging_subscribers(&mut self, now: Mono, cid: CommandId, out: &mut Vec<Out>) {
-        let lacks = self.lacking(now);
+        let lacks = self.lagging(now);
         if lacks.is_empty() && self.earlier_memberships_retired() {
             self.say_in_force(cid, out);
         } else {
--- a/crates/controller/src/key_list.rs
+++ b/crates/controller/src/key_list.rs
@@ -1,13 +1,13 @@
-//! All keys of a state, in one list that is shared by whoever needs it.
+//! A list of all keys of a state, shared by the streams that start with it.
 use control_state::{ControlState, Key};
 use std::sync::Arc;
 
-/// The list, as of when it was asked for last.
+/// Caches the list that was last handed out.
 #[derive(Clone, Debug, Default)]
 pub struct KeyList(Option<Arc<[Key]>>);
 
 impl KeyList {
-    /// The keys of that state, in their order: the same list as before if they are the same.
+    /// The keys of `state` in order. Returns the cached list if the keys have not changed.
     pub fn of(&mut self, state: &ControlState) -> Arc<[Key]> {
         let same = |list: &&Arc<[Key]>| list.iter().eq(state.items.keys());
         if let Some(list) = self.0.as_ref().filter(same) {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,4 +1,4 @@
-//! The controller, a pure part: agreement, control state, update streams and leases, leadership.
+//! The controller as a pure state machine: agreement, control state, update streams, leases, leadership.
 mod acknowledgement;
 mod apply;
 mod calls;
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -1,50 +1,52 @@
-//! What a controller is told about itself.
+//! Settings of a controller.
 use caesar::ReplicaConfig;
 use control_state::Zone;
 use primitives::{Addr, Span};
 
-/// A deployment whose controllers are not named beforehand: the first of the seeds by
-/// address founds it alone, or where that one can keep nothing names one that
-/// can; every other controller joins by a cut.
+/// Settings of a deployment that has no fixed list of controllers. The seed with the lowest
+/// address founds it alone or, if it has no storage, nominates a founder that has; every other
+/// controller joins through a membership change.
 #[derive(Copy, Clone, Debug)]
 pub struct Open {
-    /// The first start of all, on empty disks.
+    /// This is the first start of the whole deployment, on empty disks.
     pub initial: bool,
-    /// Can keep what it promises; one that cannot only passes on.
+    /// Has storage for the state; a controller without storage only relays and never becomes a member.
     pub keeps: bool,
-    /// Losses borne at once.
+    /// Number of simultaneous machine losses that the membership has to survive.
     pub losses: usize,
 }
 
-/// What a controller is told about itself.
+/// Settings of one controller.
 #[derive(Clone, Debug)]
 pub struct ControllerEnv {
-    /// Where other nodes reach it.
+    /// Address at which other nodes reach this controller.
     pub addr: Addr,
-    /// Where operators reach it.
+    /// Address at which operators reach it over HTTP.
     pub http: Addr,
-    /// Where its machine stands.
+    /// Zone of its machine.
     pub zone: Zone,
-    /// Controllers that it is told of at its start.
+    /// Controllers known at the start.
     pub seeds: Vec<Addr>,
-    /// This controller and its seeds are the first ones of a new deployment.
+    /// This controller and its seeds are the first members of a new deployment.
     pub found: bool,
-    /// How it finds the others where nobody tells it of them.
+    /// Set if the deployment has no fixed list of controllers.
     pub open: Option<Open>,
-    /// How long an edge may serve without a renewal.
+    /// How long an edge may serve without renewing its lease.
     pub lease: Span,
-    /// An era is cut once it holds this many commands.
+    /// Number of commands after which an era is ended.
     pub cut_at: usize,
-    /// How long a key stays with its round.
+    /// How long an idempotency key stays bound to its attempt.
     pub window: Span,
-    /// An origin silent for this long is removed.
+    /// An origin that sends no heartbeat for this long is removed.
     pub vanish: Span,
-    /// Bytes of records after which all is written anew in short.
+    /// Bytes of log records after which the log is compacted.
     pub compact_after_bytes: usize,
-    /// Contact is proved by echoes; switched off only to show what hearing alone leads to.
+    /// Contact with a member is proved by echoes of this controller's clock. Without it a received
+    /// message counts as contact, which proves one direction only; tests switch it off to show the
+    /// faults that follow.
     pub contact_by_echo: bool,
-    /// Bytes that the state and the log behind it may take on disk: three eighths of the
-    /// ring, so that both written anew find room beside them.
+    /// Bytes that the state and its log may take on disk: three eighths of the disk log, so that
+    /// a compacted copy of both fits beside them.
     pub room: usize,
     /// Timeouts of the agreement.
     pub pace: ReplicaConfig,
--- a/crates/controller/src/update_piece.rs
+++ b/crates/controller/src/update_piece.rs
@@ -1,62 +1,66 @@
-//! What update streams are made of.
+//! Batches of changed keys, and the pieces in which a stream sends them.
 use caesar::CommandId;
 use control_state::*;
 use primitives::{Mono, Version};
 use std::sync::Arc;
 
-/// Items up to this size are not announced.
-const SHORT: usize = 40;
+/// Items of at most this many bytes are always sent in full: an announcement is no shorter.
+const MAX_INLINE_BYTES: usize = 40;
 
-/// Changed keys under consecutive numbers, shared by all streams.
+/// Changed keys under consecutive sequence numbers; the list of keys is shared by all streams.
 #[derive(Clone, Debug)]
 pub(crate) struct Batch {
+    /// Sequence number of the first key.
     pub first: u64,
     pub keys: Arc<[Key]>,
-    /// The command that changed them; none for the state that a stream starts with.
+    /// The command that changed the keys; `None` for the state that a stream starts with.
     pub cid: Option<CommandId>,
 }
 
 impl Batch {
+    /// Sequence number of the last key.
     pub fn last(&self) -> u64 {
         self.first + self.keys.len() as u64 - 1
     }
 
-    /// Keys numbered above `after`.
+    /// Keys with sequence numbers greater than `after`.
     pub fn above(&self, after: u64) -> &[Key] {
         let skipped = (after + 1).saturating_sub(self.first) as usize;
         self.keys.get(skipped..).unwrap_or_default()
     }
 }
 
-/// Updates that travel together.
+/// Updates that are sent in one message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Piece {
-    /// The numbers `from + 1 ..= to`.
+    /// The piece covers the sequence numbers `from + 1 ..= to`.
     pub from: u64,
-    /// The last number that it holds.
+    /// The last sequence number that it covers.
     pub to: u64,
-    /// The stream starts with it.
+    /// This is the first piece of a stream.
     pub starts: bool,
-    /// Each key with what it stands for now.
+    /// Changed keys with their current items.
     pub items: Vec<(Key, Item)>,
-    /// The same of larger items, only by their versions.
+    /// Changed keys of larger items, with the current version only.
     pub announced: Vec<(Key, Version)>,
 }
 
 impl Piece {
-    /// The same, with items by their versions only, but for those that are as short themselves.
+    /// Replaces each item by its version, except items that are no longer than an announcement.
     pub(crate) fn announce(self) -> Piece {
         let (items, larger): (Vec<_>, Vec<_>) =
-            self.items.into_iter().partition(|(_, it)| it.size() <= SHORT);
+            self.items.into_iter().partition(|(_, item)| item.size() <= MAX_INLINE_BYTES);
         let announced = larger.into_iter().map(|(key, item)| (key, item.ver)).collect();
         Piece { items, announced, ..self }
     }
 }
 
-/// A piece that was sent.
+/// A piece that was sent and is not acknowledged yet.
 #[derive(Copy, Clone, Debug)]
 pub(crate) struct InFlightPiece {
+    /// The last sequence number that it covers.
     pub to: u64,
+    /// Its size as counted against the window.
     pub bytes: usize,
     pub sent: Mono,
 }
--- a/crates/controller/src/update_stream.rs
+++ b/crates/controller/src/update_stream.rs
@@ -1,129 +1,138 @@
-//! The updates for one subscriber: each changed key under a number of its own, sent in
-//! pieces of bounded size, and again from the last number that was acknowledged.
+//! The update stream to one subscriber. Each changed key gets a sequence number; updates are sent in
+//! pieces of bounded size and resent from the last acknowledged number.
 //!
-//! Invariants: numbers only grow, also when the stream starts anew, so a number once noted
-//! never stands for less. No more than a window's bytes are under way, unless it is one piece.
+//! Invariants: sequence numbers only grow, also when the stream is restarted, so a number that was
+//! noted earlier never covers less than it did then. A piece is
+//! sent only while nothing, or less than a window of bytes, is in flight.
 pub use crate::update_piece::Piece;
 use crate::update_piece::{Batch, InFlightPiece};
-pub use crate::update_terms::{DeliveryMode, SendTerms, SubscriberCounts, WINDOW};
+pub use crate::update_terms::{DeliveryMode, SendTerms, SubscriberCounts, MIN_WINDOW_BYTES};
 use caesar::CommandId;
 use control_state::*;
 use primitives::{Mono, ResponseTimeEstimator, Span};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Bytes of one piece, roughly; a single larger item makes a piece of its own.
-pub const PIECE: usize = 64 << 10;
-/// Updates that a subscriber may lack before it is sent the whole state instead.
-const LONGEST: u64 = 2000;
-/// Unacknowledged updates are sent again after this, and what their bytes take at 200 kB/s; or
-/// later, where acknowledgements usually take longer, but not later than the second.
-const RETRY: Span = Span::ms(100);
-const LONGEST_PAUSE: Span = Span::secs(2);
-/// What was announced so often to no avail is sent whole.
-const WHOLE_AFTER: u32 = 3;
-/// Each further time the pause is twice as long, so often at the most.
-const RETRY_DOUBLINGS: u32 = 3;
-pub(crate) const MICROS_A_BYTE: u64 = 5;
-
-/// Pieces up to this size are sent whole to everybody, so that small changes wait for nobody.
-const SMALL: usize = 4 << 10;
-
-/// Numbers, what they stand for, and how far the subscriber is known to hold them.
+/// Approximate size limit of a piece; a single larger item makes a piece of its own.
+pub const MAX_PIECE_BYTES: usize = 64 << 10;
+/// Unacknowledged updates beyond which the whole state is sent instead.
+const MAX_UNACKNOWLEDGED: u64 = 2000;
+/// Unacknowledged updates are resent after this delay plus the transfer time of their bytes at
+/// 200 kB/s. The delay is longer where acknowledgements usually take longer, up to the maximum.
+const MIN_RETRY_DELAY: Span = Span::ms(100);
+const MAX_RETRY_DELAY: Span = Span::secs(2);
+/// Number of unsuccessful retries after which announced items are sent in full.
+const FULL_ITEMS_AFTER_RETRIES: u32 = 3;
+/// The delay doubles with each retry, at most this many times.
+const MAX_DELAY_DOUBLINGS: u32 = 3;
+/// Transfer time per byte at 200 kB/s, in microseconds.
+pub(crate) const MICROS_PER_BYTE: u64 = 5;
+
+/// Pieces of up to this size are sent in full to all subscribers, so that small changes do not wait
+/// for the controller that sends full items.
+const MAX_FULL_PIECE_BYTES: usize = 4 << 10;
+
+/// Sequence numbers, the keys they stand for, and the position that the subscriber acknowledged.
 #[derive(Clone, Debug, Default)]
 pub struct UpdateStream {
-    /// Which stream it is; 0 until it is started.
+    /// Id of the stream; 0 while it is not started.
     id: u64,
-    begun: Mono,
-    /// The number of the start itself, and the last one of the state it starts with.
+    started_at: Mono,
+    /// The sequence number of the start itself.
     start: u64,
-    filled: u64,
-    /// The last number given, the last one sent, and the last one acknowledged.
+    /// The last sequence number of the state that the stream starts with.
+    initial_end: u64,
+    /// The last sequence number assigned.
     last: u64,
+    /// The last sequence number sent.
     sent: u64,
+    /// The last sequence number acknowledged.
     acknowledged: u64,
     batches: VecDeque<Batch>,
-    under_way: VecDeque<InFlightPiece>,
-    /// How long acknowledgements take.
-    answer_time: ResponseTimeEstimator,
-    /// When something was last sent or acknowledged.
-    progress: Mono,
-    /// Times that something was sent again, and that it was started anew, since the last
-    /// acknowledgement.
+    in_flight: VecDeque<InFlightPiece>,
+    /// Estimates how long acknowledgements take.
+    acknowledgement_time: ResponseTimeEstimator,
+    /// When a piece was last sent or acknowledged.
+    last_progress: Mono,
+    /// Retries since the last acknowledgement.
     retries: u32,
+    /// Starts of the stream since the last acknowledgement.
     starts: u32,
 }
 
 impl UpdateStream {
-    /// Which stream it is; 0 until it is started.
+    /// Id of the stream; 0 while it is not started.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// The last number given.
+    /// The last sequence number assigned.
     pub fn last(&self) -> u64 {
         self.last
     }
 
-    /// Numbers given and not known to be held.
+    /// Number of updates that were assigned a sequence number and are not acknowledged.
     pub fn unacknowledged(&self) -> u64 {
         self.last - self.acknowledged.min(self.last)
     }
 
-    /// Whether the subscriber has been sent anything that counts.
+    /// Whether the subscriber follows a stream; if not, it needs the whole state.
     pub fn is_started(&self) -> bool {
         self.id != 0
     }
 
-    /// Whether all that was numbered was sent.
+    /// Whether all updates were sent.
     pub fn is_sent(&self) -> bool {
         self.sent == self.last
     }
 
-    /// Where a message without items stands in the stream.
+    /// The stream position of a message that carries no items: the last sequence number sent.
     pub fn position(&self) -> u64 {
         self.sent
     }
 
-    /// Whether the subscriber is not known to hold everything.
+    /// Whether the subscriber has not acknowledged everything.
     pub fn is_behind(&self) -> bool {
         !self.holds(self.last)
     }
 
-    /// Whether the subscriber holds all up to a number given to this or an earlier stream.
+    /// Whether the subscriber holds everything up to a sequence number that was assigned in this or an
+    /// earlier stream.
     pub fn holds(&self, number: u64) -> bool {
-        self.is_started() && self.acknowledged >= number.max(self.filled)
+        self.is_started() && self.acknowledged >= number.max(self.initial_end)
     }
 
-    /// Whether it may start anew: one that has just started has not been heard of yet.
+    /// Whether the stream may be restarted. After a start, `wait` has to pass (doubled with each further
+    /// start), because the subscriber cannot have acknowledged the new stream yet.
     pub fn may_start(&self, now: Mono, wait: Span) -> bool {
-        let wait = wait.times(1 << self.starts.saturating_sub(1).min(RETRY_DOUBLINGS));
-        !self.is_started() || now - self.begun >= wait
+        let wait = wait.times(1 << self.starts.saturating_sub(1).min(MAX_DELAY_DOUBLINGS));
+        !self.is_started() || now - self.started_at >= wait
     }
 
-    /// Starts anew with the whole state.
+    /// Restarts the stream under the given id with the whole state, given as the list of its keys.
     pub fn start(&mut self, now: Mono, id: u64, state: Arc<[Key]>) {
         let start = self.last + 1;
-        let filled = start + state.len() as u64;
+        let initial_end = start + state.len() as u64;
         let batch = Batch { first: start + 1, keys: state, cid: None };
         *self = UpdateStream {
             id,
-            begun: now,
+            started_at: now,
             start,
-            filled,
-            last: filled,
+            initial_end,
+            last: initial_end,
             sent: self.last,
             acknowledged: self.last,
             batches: VecDeque::from_iter(Some(batch).filter(|b| !b.keys.is_empty())),
-            under_way: VecDeque::new(),
-            answer_time: self.answer_time,
-            progress: now,
+            in_flight: VecDeque::new(),
+            acknowledgement_time: self.acknowledgement_time,
+            last_progress: now,
             retries: 0,
             starts: self.starts + 1,
         };
     }
 
-    /// Numbers changed keys. A stream too long to be worth sending waits to be started anew.
+    /// Assigns sequence numbers to changed keys. A stream with too many unacknowledged updates is
+    /// stopped and has to be restarted with the whole state.
     pub fn append(&mut self, keys: &Arc<[Key]>, cid: Option<CommandId>) {
         if keys.is_empty() {
             return;
@@ -134,39 +143,41 @@
             return;
         }
         self.batches.push_back(Batch { first, keys: keys.clone(), cid });
-        if self.last - self.acknowledged.max(self.filled) > LONGEST {
+        if self.last - self.acknowledged.max(self.initial_end) > MAX_UNACKNOWLEDGED {
             self.batches.clear();
-            self.under_way.clear();
+            self.in_flight.clear();
             self.id = 0;
         }
     }
 
-    /// The subscriber holds this stream up to a number; only what was sent counts.
+    /// Records that the subscriber holds this stream up to a sequence number. A number beyond the last
+    /// one sent is cut down to that.
     pub fn acknowledge(&mut self, now: Mono, number: u64) {
         let number = number.min(self.sent);
         if number <= self.acknowledged {
             return;
         }
-        // Of what was sent again nobody knows which one was answered.
-        let answered = self.under_way.iter().rfind(|p| p.to <= number && self.retries == 0);
-        answered.map(|p| p.sent).into_iter().for_each(|sent| self.answer_time.note(now - sent));
+        // After a retry it is unknown which transmission was acknowledged, so it is not measured.
+        let measured = self.in_flight.iter().rfind(|p| p.to <= number && self.retries == 0);
+        measured.map(|p| p.sent).into_iter().for_each(|sent| self.acknowledgement_time.note(now - sent));
         self.acknowledged = number;
-        self.progress = now;
+        self.last_progress = now;
         (self.retries, self.starts) = (0, 0);
         self.batches.retain(|b| b.last() > number);
-        self.under_way.retain(|p| p.to > number);
+        self.in_flight.retain(|p| p.to > number);
     }
 
-    fn bytes_under_way(&self) -> usize {
-        self.under_way.iter().map(|p| p.bytes).sum()
+    fn bytes_in_flight(&self) -> usize {
+        self.in_flight.iter().map(|p| p.bytes).sum()
     }
 
-    /// Goes back to the last acknowledged number if nothing came of what was sent.
+    /// Goes back to the last acknowledged sequence number if no acknowledgement came within the retry
+    /// delay. Returns whether it did.
     pub fn retry(&mut self, now: Mono) -> bool {
-        let pause = RETRY + Span(self.bytes_under_way() as u64 * MICROS_A_BYTE);
-        let pause = self.answer_time.limit(pause, LONGEST_PAUSE);
-        let wait = pause.times(1 << self.retries.min(RETRY_DOUBLINGS));
-        let lost = self.is_started() && self.acknowledged < self.sent && now - self.progress >= wait;
+        let delay = MIN_RETRY_DELAY + Span(self.bytes_in_flight() as u64 * MICROS_PER_BYTE);
+        let delay = self.acknowledgement_time.limit(delay, MAX_RETRY_DELAY);
+        let wait = delay.times(1 << self.retries.min(MAX_DELAY_DOUBLINGS));
+        let lost = self.is_started() && self.acknowledged < self.sent && now - self.last_progress >= wait;
         if lost {
             self.rewind();
             self.retries += 1;
@@ -174,14 +185,16 @@
         lost
     }
 
-    /// Goes back to the last acknowledged number: what was announced is to be sent whole.
+    /// Goes back to the last acknowledged sequence number, so that everything after it is resent.
+    /// Also used when a subscriber switches to full items and has to get announced ones in full.
     pub fn rewind(&mut self) {
         self.sent = self.acknowledged;
-        self.under_way.clear();
+        self.in_flight.clear();
     }
 
-    /// The next piece, if the window has room for one: up to the first update that may not be seen
-    /// yet. What is large is announced, unless that is not wanted or did not get on.
+    /// The next piece, if the window allows one. It ends before the first update that `is_visible`
+    /// rejects. A large piece is announced if the subscriber asked for announcements, unless several
+    /// retries of them went unacknowledged.
     pub fn next_piece(
         &mut self,
         now: Mono,
@@ -189,12 +202,12 @@
         terms: SendTerms,
         is_visible: impl Fn(&Key, Option<CommandId>) -> bool,
     ) -> Option<Piece> {
-        let announces = terms.wanted == DeliveryMode::Announced && self.retries < WHOLE_AFTER;
-        let whole_after_all = terms.wanted == DeliveryMode::Announced && !announces;
-        // Many may need it at once: one piece each.
-        let window = if whole_after_all { 0 } else { terms.window };
-        let room = self.under_way.is_empty() || self.bytes_under_way() < window;
-        if !self.is_started() || self.sent == self.last || !room {
+        let announces = terms.mode == DeliveryMode::Announced && self.retries < FULL_ITEMS_AFTER_RETRIES;
+        let full_after_retries = terms.mode == DeliveryMode::Announced && !announces;
+        // Many subscribers may need this at once, so each gets one piece at a time.
+        let window = if full_after_retries { 0 } else { terms.window };
+        let has_room = self.in_flight.is_empty() || self.bytes_in_flight() < window;
+        if !self.is_started() || self.sent == self.last || !has_room {
             return None;
         }
         let from = self.sent;
@@ -206,7 +219,7 @@
         for (key, cid) in updates {
             let item = state.item(key);
             bytes += key.size() + item.size();
-            if !is_visible(key, cid) || (bytes > PIECE && to > from.max(self.start)) {
+            if !is_visible(key, cid) || (bytes > MAX_PIECE_BYTES && to > from.max(self.start)) {
                 break;
             }
             to += 1;
@@ -216,9 +229,9 @@
             return None;
         }
         self.sent = to;
-        self.progress = now;
-        self.under_way.push_back(InFlightPiece { to, bytes: bytes.min(PIECE), sent: now });
+        self.last_progress = now;
+        self.in_flight.push_back(InFlightPiece { to, bytes: bytes.min(MAX_PIECE_BYTES), sent: now });
         let piece = Piece { from, to, starts, items, announced: vec![] };
-        Some(if announces && bytes > SMALL { piece.announce() } else { piece })
+        Some(if announces && bytes > MAX_FULL_PIECE_BYTES { piece.announce() } else { piece })
     }
 }
--- a/crates/controller/src/update_terms.rs
+++ b/crates/controller/src/update_terms.rs
@@ -1,32 +1,32 @@
-//! On what terms subscribers are sent updates.
+//! Flow-control limits and delivery modes of update streams.
 
-/// Bytes that may be under way to one subscriber: the least and the most.
-pub const WINDOW: usize = 64 << 10;
-const LARGEST_WINDOW: usize = 512 << 10;
-/// To all subscribers together that want items in one way, unless that is less than the least for
-/// each. What is under way is held twice, as a message and encoded.
-const UNDER_WAY: usize = 2 << 20;
+/// Lower and upper bound, in bytes, of what may be in flight to one subscriber.
+pub const MIN_WINDOW_BYTES: usize = 64 << 10;
+const MAX_WINDOW_BYTES: usize = 512 << 10;
+/// Bytes that may be in flight to all subscribers of one delivery mode together, unless the minimum
+/// window of each adds up to more. Data in flight is held in memory twice: as a message and encoded.
+const MAX_TOTAL_BYTES: usize = 2 << 20;
 
-/// How a subscriber wants items.
+/// How a subscriber receives items.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub enum DeliveryMode {
-    /// All of them whole.
+    /// All items in full.
     #[default]
     Whole,
-    /// Larger ones only announced, for another controller sends them.
+    /// Larger items by version only, because another controller sends them in full.
     Announced,
 }
 
-/// On what terms a subscriber is sent items.
+/// Delivery mode and flow-control window of one subscriber.
 #[derive(Copy, Clone, Debug)]
 pub struct SendTerms {
-    /// How it wants them.
-    pub wanted: DeliveryMode,
-    /// Bytes that may be under way; items that are announced count as if they were sent.
+    /// The mode that the subscriber asked for.
+    pub mode: DeliveryMode,
+    /// Bytes that may be in flight; announced items count with their full size.
     pub window: usize,
 }
 
-/// How many subscribers want items in each way.
+/// Number of subscribers in each delivery mode.
 #[derive(Copy, Clone, Debug, Default)]
 pub struct SubscriberCounts {
     whole: usize,
@@ -34,24 +34,25 @@
 }
 
 impl SubscriberCounts {
-    /// Counts them.
-    pub fn count(all: impl Iterator<Item = DeliveryMode>) -> SubscriberCounts {
-        all.fold(SubscriberCounts::default(), |mut subscriber_counts, wanted| {
-            match wanted {
-                DeliveryMode::Whole => subscriber_counts.whole += 1,
-                DeliveryMode::Announced => subscriber_counts.announced += 1,
+    /// Counts the subscribers with these delivery modes.
+    pub fn count(modes: impl Iterator<Item = DeliveryMode>) -> SubscriberCounts {
+        modes.fold(SubscriberCounts::default(), |mut counts, mode| {
+            match mode {
+                DeliveryMode::Whole => counts.whole += 1,
+                DeliveryMode::Announced => counts.announced += 1,
             }
-            subscriber_counts
+            counts
         })
     }
 
-    /// What each of those who want it so is sent: they share what may be under way.
-    pub fn terms(&self, wanted: DeliveryMode) -> SendTerms {
-        let subscribers = match wanted {
+    /// The terms for each subscriber of this mode: an equal share of the total in-flight bytes,
+    /// within the bounds of a window.
+    pub fn terms(&self, mode: DeliveryMode) -> SendTerms {
+        let subscribers = match mode {
             DeliveryMode::Whole => self.whole,
             DeliveryMode::Announced => self.announced,
         };
-        let share = UNDER_WAY / subscribers.max(1);
-        SendTerms { wanted, window: share.clamp(WINDOW, LARGEST_WINDOW) }
+        let share = MAX_TOTAL_BYTES / subscribers.max(1);
+        SendTerms { mode, window: share.clamp(MIN_WINDOW_BYTES, MAX_WINDOW_BYTES) }
     }
 }
