--- a/crates/controller/src/acknowledgement.rs
+++ b/crates/controller/src/acknowledgement.rs
@@ -1,47 +1,50 @@
-//! From submission to "decided, durable and in force".
+//! Submission of changes and their acknowledgement once they are decided, durable and in force.
 //!
-//! Invariant: a change is acknowledged only when a classic quorum of controllers
-//! has applied it from a synced decision and none of them has a live lease
-//! out to a subscriber that lacks it. A subscriber's lease needs renewals from
-//! a classic quorum, so some controller is in both: no subscriber without the
-//! change can be serving.
+//! Invariant: a change is acknowledged only when a classic quorum of controllers has applied it from
+//! a synced decision and none of them has an unexpired lease out to a subscriber that lagging it. A
+//! subscriber's lease needs renewals from a classic quorum, and two such quorums share a controller,
+//! so no subscriber without the change can be serving.
 use crate::controller::Controller;
-use crate::pending::{Asked, Pending};
+use crate::pending::{Pending, PendingChange};
 use caesar::{classic_quorum, CommandId, MemberId};
 use control_state::*;
 use primitives::{Addr, Mono, Span, Token};
 use std::sync::Arc;
 
-const NOT_A_MEMBER: NodeReply = NodeReply::Unavailable("not a member any more");
-const FORGET: Span = Span::secs(60);
-/// How often changes that wait are looked through.
-const LOOK: Span = Span::ms(50);
-/// Purges in one command.
-const BATCH: usize = 100;
-const BYTES: usize = 32 << 10;
+const NOT_A_MEMBER: NodeReply = NodeReply::Unavailable("this controller is no longer a member");
+/// Changes pending for this long are dropped without an answer.
+const MAX_PENDING_TIME: Span = Span::secs(60);
+/// How often pending changes are checked.
+const CHECK_INTERVAL: Span = Span::ms(50);
+/// Limits of one command of batched purges: their number, and their size in bytes.
+const MAX_BATCH_PURGES: usize = 100;
+const MAX_BATCH_BYTES: usize = 32 << 10;
 
 impl Controller {
+    /// Proposes a change, or queues it if it is a purge. The caller of `token` is answered when the
+    /// change is in force or refused.
     pub(crate) fn submit(&mut self, now: Mono, token: Option<Token>, change: Change, out: &mut Vec<Out>) {
-        self.enqueue(now, Asked::new(change, token), out);
+        self.enqueue(now, PendingChange::new(change, token), out);
         self.send_queued_purges(now, out);
     }
 
-    fn enqueue(&mut self, now: Mono, asked: Asked, out: &mut Vec<Out>) {
-        let asked = Asked { change: self.shortened(asked.change), ..asked };
-        if self.join(now, &asked) {
+    fn enqueue(&mut self, now: Mono, asked: PendingChange, out: &mut Vec<Out>) {
+        let asked = PendingChange { change: self.without_confirmed_edits(asked.change), ..asked };
+        if self.join_identical_edits(now, &asked) {
             return;
         }
         if asked.change.op.is_batchable() {
-            self.line.push(asked);
+            self.queued_purges.push(asked);
         } else {
             self.propose(now, vec![asked], out);
         }
     }
 
-    /// What did not come through in an era, or was overtaken, is proposed anew; whoever
-    /// joined goes on waiting. A removal is not: its origin may have been heard since.
+    /// Proposes again what was not decided by the end of an era, or whose command was replaced by a
+    /// no-op; callers that joined it keep waiting. A removal that nobody waits for is dropped: its
+    /// origin may have sent a heartbeat since.
     pub(crate) fn again(&mut self, now: Mono, pending: Pending, out: &mut Vec<Out>) {
-        for asked in pending.wanted() {
+        for asked in pending.into_reproposals() {
             let stale_removal = asked.tokens.is_empty() && matches!(asked.change.op, Op::Remove(..));
             if !stale_removal {
                 self.enqueue(now, asked, out);
@@ -50,133 +53,140 @@
         self.send_queued_purges(now, out);
     }
 
-    /// One such command is under way at a time; the rest gathers.
+    /// Proposes queued purges as one command. Only one such command is pending at a time; later purges
+    /// wait in the queue.
     pub(crate) fn send_queued_purges(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let gathered = |p: &Pending| p.asked.iter().any(|a| a.change.op.is_batchable());
-        let busy = self.pending.values().any(|p| p.own && p.verdicts.is_none() && gathered(p));
-        if !busy && !self.line.is_empty() {
-            // As many as stay small together, but at least one.
+        let has_purges = |p: &Pending| p.asked.iter().any(|a| a.change.op.is_batchable());
+        let busy = self.pending.values().any(|p| p.own && p.verdicts.is_none() && has_purges(p));
+        if !busy && !self.queued_purges.is_empty() {
+            // As many as fit the size limit, but at least one.
             let mut bytes = 0;
-            let fits = |a: &&Asked| {
+            let fits = |a: &&PendingChange| {
                 bytes += a.change.op.size();
-                bytes <= BYTES
+                bytes <= MAX_BATCH_BYTES
             };
-            let n = self.line.iter().take(BATCH).take_while(fits).count().max(1);
-            let all = self.line.drain(..n).collect();
+            let n = self.queued_purges.iter().take(MAX_BATCH_PURGES).take_while(fits).count().max(1);
+            let all = self.queued_purges.drain(..n).collect();
             self.propose(now, all, out);
         }
     }
 
-    pub(crate) fn propose(&mut self, now: Mono, asked: Vec<Asked>, out: &mut Vec<Out>) {
+    /// Proposes these changes as one command. If this controller is not a member, their callers are
+    /// answered so at once.
+    pub(crate) fn propose(&mut self, now: Mono, asked: Vec<PendingChange>, out: &mut Vec<Out>) {
         let cmd = Cmd::Changes(Arc::new(asked.iter().map(|a| a.change.clone()).collect()));
-        let mut o = vec![];
-        let cid = self.consensus.as_mut().map(|m| m.propose(now, cmd, &mut o));
+        let mut outputs = vec![];
+        let cid = self.consensus.as_mut().map(|m| m.propose(now, cmd, &mut outputs));
         match cid {
-            Some(c) => {
-                self.pending.insert(c, Pending::new(asked, now, true));
+            Some(cid) => {
+                self.pending.insert(cid, Pending::new(asked, now, true));
             }
             None => {
-                let no = |t| Out::Tell(t, NOT_A_MEMBER);
-                out.extend(asked.into_iter().flat_map(|a| a.tokens).map(no));
+                let reject = |token| Out::Tell(token, NOT_A_MEMBER);
+                out.extend(asked.into_iter().flat_map(|a| a.tokens).map(reject));
             }
         }
-        self.carry(now, o, out);
+        self.handle_outputs(now, outputs, out);
     }
 
-    /// A word of leaving, which its origin repeats until it is answered: one command
-    /// of it is under way at a time, or those of a slow core would pile up.
-    pub(crate) fn submit_unless_pending(&mut self, now: Mono, t: Token, op: Op, out: &mut Vec<Out>) {
-        if !self.join_pending(t, &op) {
-            self.submit(now, Some(t), Change { id: None, op }, out);
+    /// Submits a deregistration or drain, or joins the same one if it is pending. An origin repeats it
+    /// until it is answered; when decisions are slow, a command for each repetition would pile up.
+    pub(crate) fn submit_unless_pending(&mut self, now: Mono, token: Token, op: Op, out: &mut Vec<Out>) {
+        if !self.join_pending(token, &op) {
+            self.submit(now, Some(token), Change { id: None, op }, out);
         }
     }
 
-    /// Whether the same is under way, so that its answer will be this caller's too.
+    /// Adds the caller to the same operation if it is pending or queued. Returns whether there was one.
     pub(crate) fn join_pending(&mut self, token: Token, op: &Op) -> bool {
-        let under_way = self.pending.values_mut().flat_map(|p| &mut p.asked);
-        let mut under_way = under_way.chain(&mut self.line);
-        let same = under_way.find(|a| a.change.id.is_none() && a.change.op == *op);
+        let pending = self.pending.values_mut().flat_map(|p| &mut p.asked);
+        let mut waiting = pending.chain(&mut self.queued_purges);
+        let same = waiting.find(|a| a.change.id.is_none() && a.change.op == *op);
         same.map(|a| a.tokens.push(token)).is_some()
     }
 
-    /// Whether the same was not proposed a moment ago.
-    fn newly(&mut self, now: Mono, op: &Op) -> bool {
-        let print = primitives::hash(&format!("{op:?}"));
-        let lately = self.derived.get(&print).is_some_and(|t| now - *t < Span::ms(1500));
-        if !lately {
-            self.derived.retain(|_, t| now - *t < Span::secs(10));
-            self.derived.insert(print, now);
+    /// Whether the same was not proposed within the last 1.5 s; notes it as proposed now.
+    fn note_recent_proposal(&mut self, now: Mono, op: &Op) -> bool {
+        let fingerprint = primitives::hash(&format!("{op:?}"));
+        let recent = self.recent_proposals.get(&fingerprint).is_some_and(|t| now - *t < Span::ms(1500));
+        if !recent {
+            self.recent_proposals.retain(|_, t| now - *t < Span::secs(10));
+            self.recent_proposals.insert(fingerprint, now);
             self.count("derived");
         }
-        !lately
+        !recent
     }
 
-    /// Proposes what no operator sent, unless it was proposed a moment ago.
+    /// Proposes an operation that no operator sent, unless it was proposed within the last 1.5 s.
     pub(crate) fn derive(&mut self, now: Mono, op: Op, out: &mut Vec<Out>) {
-        if self.newly(now, &op) {
+        if self.note_recent_proposal(now, &op) {
             self.submit(now, None, Change { id: None, op }, out);
         }
     }
 
-    /// Notes who must still learn of a command just applied. If nobody has to, that is said.
+    /// Records which subscribers still lack a command that was just applied. If none does, it is
+    /// reported as in force here.
     pub(crate) fn note_lagging_subscribers(&mut self, now: Mono, cid: CommandId, out: &mut Vec<Out>) {
-        let lacks = self.lagging(now);
-        if lacks.is_empty() && self.earlier_memberships_retired() {
-            self.say_in_force(cid, out);
+        let lagging = self.lagging(now);
+        if lagging.is_empty() && self.earlier_memberships_retired() {
+            self.report_in_force(cid, out);
         } else {
-            self.lagging_subscribers.insert(cid, lacks);
+            self.lagging_subscribers.insert(cid, lagging);
         }
     }
 
-    /// Tells whoever leads the command, and whoever asked.
-    fn say_in_force(&mut self, cid: CommandId, out: &mut Vec<Out>) {
+    /// Reports a command as in force here, to the member that proposed it and to those that asked.
+    fn report_in_force(&mut self, cid: CommandId, out: &mut Vec<Out>) {
         let mut to = self.in_force_requesters.remove(&cid).unwrap_or_default();
         to.extend(self.base.member(cid.member_id).map(|m| m.addr));
         let (era, me) = (self.base.era, self.member_id);
         out.extend(to.into_iter().map(|a| Out::Send(a, Msg::InForce(era, cid, me))));
     }
 
-    fn settled(&self, cid: CommandId) -> bool {
+    /// Whether a command was applied here and is in force as far as this controller's leases go.
+    fn is_in_force_here(&self, cid: CommandId) -> bool {
         let here = self.consensus.as_ref().is_some_and(|m| m.delivered(cid));
         here && !self.lagging_subscribers.contains_key(&cid) && self.earlier_memberships_retired()
     }
 
-    /// Clears what was paid, tells the leaders, asks for what is missing.
+    /// Reports commands that no subscriber lagging any more, queries members about pending ones, and
+    /// drops those that have been pending for too long.
     pub(crate) fn force(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let open = std::mem::take(&mut self.lagging_subscribers);
-        for (cid, lacks) in open {
+        let unfinished = std::mem::take(&mut self.lagging_subscribers);
+        for (cid, lagging) in unfinished {
             let still: Vec<_> =
-                lacks.into_iter().filter(|(id, no)| !self.has_caught_up(now, *id, *no)).collect();
+                lagging.into_iter().filter(|(id, number)| !self.has_caught_up(now, *id, *number)).collect();
             if still.is_empty() && self.earlier_memberships_retired() {
-                self.say_in_force(cid, out);
+                self.report_in_force(cid, out);
             } else {
                 self.lagging_subscribers.insert(cid, still);
             }
         }
-        if self.due("force", LOOK, now) {
-            self.ask_silent_members(now, out);
-            self.pending.retain(|_, p| now - p.began < FORGET);
+        if self.due("force", CHECK_INTERVAL, now) {
+            self.query_unconfirmed_members(now, out);
+            self.pending.retain(|_, p| now - p.started_at < MAX_PENDING_TIME);
         }
     }
 
-    /// Members' words may be lost on their way, or were due at once.
-    fn ask_silent_members(&mut self, now: Mono, out: &mut Vec<Out>) {
+    /// Queries the members that have not confirmed a pending change: the confirmation may be lost, or
+    /// was sent before this controller waited for it.
+    fn query_unconfirmed_members(&mut self, now: Mono, out: &mut Vec<Out>) {
         let era = self.base.era;
         let members = &self.base.members;
-        let waiting = self.pending.iter_mut().filter(|(_, p)| p.verdicts.is_some());
-        for (cid, pending) in waiting {
-            if pending.ask_again.due(now) {
-                let silent = members.iter().filter(|m| !pending.yes.contains(&m.member_id));
-                out.extend(silent.map(|m| Out::Send(m.addr, Msg::InForceQuery(era, *cid))));
+        let decided = self.pending.iter_mut().filter(|(_, p)| p.verdicts.is_some());
+        for (cid, pending) in decided {
+            if pending.query_backoff.due(now) {
+                let unconfirmed = members.iter().filter(|m| !pending.in_force_at.contains(&m.member_id));
+                out.extend(unconfirmed.map(|m| Out::Send(m.addr, Msg::InForceQuery(era, *cid))));
             }
         }
     }
 
-    pub(crate) fn on_ask_force(&mut self, from: Addr, era: Era, cid: CommandId, out: &mut Vec<Out>) {
+    pub(crate) fn on_in_force_query(&mut self, from: Addr, era: Era, cid: CommandId, out: &mut Vec<Out>) {
         if era != self.base.era {
             return;
         }
-        if self.settled(cid) {
+        if self.is_in_force_here(cid) {
             out.push(Out::Send(from, Msg::InForce(era, cid, self.member_id)));
         } else if self.base.members.iter().any(|m| m.addr == from) {
             self.in_force_requesters.entry(cid).or_default().insert(from);
@@ -193,23 +203,23 @@
     ) {
         if era == self.base.era {
             self.pending.entry(cid).and_modify(|p| {
-                p.yes.insert(member_id);
+                p.in_force_at.insert(member_id);
             });
             self.conclude(now, cid, out);
         }
     }
 
-    /// Answers the operator when there is nothing left to wait for.
+    /// Answers the callers of a decided command once it is in force, or if no verdict has to wait for that.
     pub(crate) fn conclude(&mut self, now: Mono, cid: CommandId, out: &mut Vec<Out>) {
-        let need = classic_quorum(self.base.members.len()).max(self.min_copies());
-        let Some(p) = self.pending.get(&cid) else { return };
-        let Some(vs) = &p.verdicts else { return };
-        let asked = |a: &Asked| !a.tokens.is_empty() || matches!(a.change.op, Op::Seats { .. });
-        // What is void is so because of something earlier, which must be in force as well.
-        let waits = |(a, v): (&Asked, &Verdict)| asked(a) && !v.is_refusal();
-        let open = p.asked.iter().zip(vs).any(waits);
-        let in_force = p.yes.len() >= need;
-        if open && !in_force {
+        let quorum = classic_quorum(self.base.members.len()).max(self.min_copies());
+        let Some(pending) = self.pending.get(&cid) else { return };
+        let Some(verdicts) = &pending.verdicts else { return };
+        let has_caller = |a: &PendingChange| !a.tokens.is_empty() || matches!(a.change.op, Op::Seats { .. });
+        // A void change depends on an earlier one, which must be in force as well; a refusal depends on none.
+        let waits = |(a, v): (&PendingChange, &Verdict)| has_caller(a) && !v.is_refusal();
+        let must_wait = pending.asked.iter().zip(verdicts).any(waits);
+        let in_force = pending.in_force_at.len() >= quorum;
+        if must_wait && !in_force {
             return;
         }
         let Some(pending) = self.pending.remove(&cid) else { return };
--- a/crates/controller/src/apply.rs
+++ b/crates/controller/src/apply.rs
@@ -1,47 +1,49 @@
-//! Runs the agreement and applies what it delivers.
+//! Runs the agreement and applies the commands that it delivers.
 use crate::controller::Controller;
 use crate::stored_records::Kept;
 use caesar::{CommandId, Machine};
 use control_state::*;
 use primitives::Mono;
 
-type Outs = Vec<caesar::Out<Cmd>>;
+type Outputs = Vec<caesar::Out<Cmd>>;
 
 impl Controller {
-    /// Lets the machine work and carries its outputs out, in their order.
+    /// Runs `f` on the agreement, if this controller is a member, and handles its outputs in order.
     pub(crate) fn with_machine(
         &mut self,
         now: Mono,
         out: &mut Vec<Out>,
-        f: impl FnOnce(&mut Machine<Cmd>, &mut Outs),
+        f: impl FnOnce(&mut Machine<Cmd>, &mut Outputs),
     ) {
-        let mut o: Outs = vec![];
-        if let Some(m) = &mut self.consensus {
-            f(m, &mut o);
+        let mut outputs: Outputs = vec![];
+        if let Some(machine) = &mut self.consensus {
+            f(machine, &mut outputs);
         }
-        self.carry(now, o, out);
+        self.handle_outputs(now, outputs, out);
     }
 
-    pub(crate) fn carry(&mut self, now: Mono, o: Outs, out: &mut Vec<Out>) {
+    /// Saves records, sends messages and applies commands, in the order in which the agreement put
+    /// them out.
+    pub(crate) fn handle_outputs(&mut self, now: Mono, outputs: Outputs, out: &mut Vec<Out>) {
         let era = self.base.era;
-        for x in o {
-            match x {
-                caesar::Out::Save(r) => {
-                    let b = Kept::Agreement(era, r).encode();
-                    self.log.written += b.len();
-                    out.push(Out::Save(b));
+        for output in outputs {
+            match output {
+                caesar::Out::Save(record) => {
+                    let bytes = Kept::Agreement(era, record).encode();
+                    self.log.written += bytes.len();
+                    out.push(Out::Save(bytes));
                     if self.disk.saving(now) {
                         out.push(Out::Send(self.env.addr, Msg::Synced(now)));
                     }
                 }
-                caesar::Out::Send(to, w) => {
-                    let at = self.base.member(to).map(|m| m.addr);
-                    out.extend(at.map(|a| Out::Send(a, Msg::agreement(era, self.member_id, w))));
+                caesar::Out::Send(to, message) => {
+                    let addr = self.base.member(to).map(|m| m.addr);
+                    out.extend(addr.map(|a| Out::Send(a, Msg::agreement(era, self.member_id, message))));
                 }
                 caesar::Out::Deliver(cid, cmd) => {
                     self.deliver(now, cid, cmd, out);
                     if self.base.era != era {
-                        // The cut was the era's last command; the rest is void.
+                        // The command ended the era, so the remaining outputs are void.
                         return;
                     }
                 }
@@ -54,27 +56,27 @@
             Cmd::Look => self.answer_reader(now, cid, out),
             Cmd::Noop => {
                 self.retry_reading(now, cid, out);
-                let p = self.pending.remove(&cid);
-                p.into_iter().for_each(|p| self.again(now, p, out));
+                let pending = self.pending.remove(&cid);
+                pending.into_iter().for_each(|p| self.again(now, p, out));
             }
-            Cmd::Cut(members, landed) => {
+            Cmd::Cut(members, retired_up_to) => {
                 let clock = self.consensus.as_ref().map_or(0, |m| m.clock());
-                let next = self.state.cut(&members, landed, clock);
-                let news = self.differs(&next);
+                let next = self.state.cut(&members, retired_up_to, clock);
+                let changed = self.differs(&next);
                 self.enter(now, next, out);
-                self.number(&news, None);
+                self.number(&changed, None);
             }
             Cmd::Changes(all) => {
-                let mut news: Vec<Key> = vec![];
+                let mut changed: Vec<Key> = vec![];
                 let mut verdicts = vec![];
-                for c in all.iter() {
-                    let (verdict, first) = self.state.apply(c);
-                    if let (Verdict::Done(ks), true) = (&verdict, first) {
-                        news.extend(ks.iter().map(|(k, _)| k.clone()));
+                for change in all.iter() {
+                    let (verdict, first) = self.state.apply(change);
+                    if let (Verdict::Done(keys), true) = (&verdict, first) {
+                        changed.extend(keys.iter().map(|(k, _)| k.clone()));
                     }
                     verdicts.push(verdict);
                 }
-                self.hide(now, cid, &news, out);
+                self.withhold_until_confirmed(now, cid, &changed, out);
                 self.note_lagging_subscribers(now, cid, out);
                 self.pending.entry(cid).and_modify(|p| p.verdicts = Some(verdicts));
                 self.conclude(now, cid, out);
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -1,70 +1,84 @@
-//! What a controller is asked, by callers of its own process and by other nodes: those are
-//! answered to the node, not to a local asker.
+//! Requests to a controller, from callers in its own process and forwarded by other nodes. A forwarded
+//! call is answered to the node that sent it.
 use crate::controller::Controller;
 use crate::reading::Reader;
 use control_state::*;
 use primitives::{Addr, Mono, Token};
 
-/// Tokens of the shell stay below.
-const OURS: u64 = 1 << 62;
-/// Calls that may be open; older ones are forgotten, for their nodes ask again.
-const MOST: usize = 4096;
+/// Lowest token for forwarded calls; tokens given by this controller's process are smaller.
+const FIRST_CALL_TOKEN: u64 = 1 << 62;
+/// Maximum number of open forwarded calls. Beyond it the oldest are dropped; their nodes retry.
+const MAX_OPEN_CALLS: usize = 4096;
 
 const NO_QUORUM: NodeReply = NodeReply::Unavailable("no quorum of controllers in reach");
-const NO_ROOM: NodeReply = NodeReply::Unavailable("the state would outgrow the controllers' disks");
+const STATE_TOO_LARGE: NodeReply =
+    NodeReply::Unavailable("the change would make the state too large for the controllers' disks");
 
 impl Controller {
-    /// Answers now, or once what was asked is decided and in force.
-    pub(crate) fn ask(&mut self, now: Mono, t: Token, ask: Ask, out: &mut Vec<Out>) {
+    /// Answers a request at once, or when what it asks for is decided and in force.
+    pub(crate) fn ask(&mut self, now: Mono, token: Token, ask: Ask, out: &mut Vec<Out>) {
         let ready = self.may_decide(now);
-        let r = match ask {
+        let reply = match ask {
             Ask::Drain => NodeReply::Health(self.drain(now, out)),
             Ask::Ready => NodeReply::Health(self.health(now)),
             _ if self.watch.stopping => NodeReply::Unavailable("this controller is leaving"),
-            Ask::Change(c) if !self.has_room(&c) => NO_ROOM,
-            Ask::Change(c) if ready && self.gathered(now, &c) => return self.submit(now, Some(t), c, out),
-            Ask::OriginHeartbeat(b, mark) if self.may_acknowledge_heartbeats(now) => {
-                return self.on_direct_heartbeat(now, t, b, mark, out)
+            Ask::Change(c) if !self.has_room(&c) => STATE_TOO_LARGE,
+            Ask::Change(c) if ready && self.gathered(now, &c) => {
+                return self.submit(now, Some(token), c, out)
             }
-            Ask::SignOff(tag) if ready => return self.sign_off(now, t, &tag, out),
+            Ask::OriginHeartbeat(heartbeat, mark) if self.may_acknowledge_heartbeats(now) => {
+                return self.on_direct_heartbeat(now, token, heartbeat, mark, out)
+            }
+            Ask::SignOff(tag) if ready => return self.deregister_origin(now, token, &tag, out),
             Ask::Replace { old, new } => self.replace(now, old, new, out),
-            Ask::Table if ready => return self.read(now, Reader { token: t, asked: now, holds: None }, out),
+            Ask::Table if ready => {
+                return self.read(now, Reader { token, asked: now, held_digest: None }, out)
+            }
             Ask::TableIfChanged(held) if ready => {
-                return self.read(now, Reader { token: t, asked: now, holds: Some(held) }, out)
+                return self.read(now, Reader { token, asked: now, held_digest: Some(held) }, out)
             }
             Ask::Change(_)
             | Ask::OriginHeartbeat(..)
             | Ask::SignOff(_)
             | Ask::Table
             | Ask::TableIfChanged(_) => NO_QUORUM,
-            Ask::Read => NodeReply::Unavailable("controllers are read by their table"),
+            Ask::Read => NodeReply::Unavailable("a controller's state is read as its table"),
             _ => NodeReply::Acknowledged,
         };
-        out.push(Out::Tell(t, r));
+        out.push(Out::Tell(token, reply));
     }
 
-    pub(crate) fn on_call(&mut self, now: Mono, from: Addr, n: RequestId, c: Call, out: &mut Vec<Out>) {
+    /// Handles a call that another node forwarded.
+    pub(crate) fn on_call(
+        &mut self,
+        now: Mono,
+        from: Addr,
+        request: RequestId,
+        call: Call,
+        out: &mut Vec<Out>,
+    ) {
         self.next_call += 1;
-        let t = Token(OURS + self.next_call);
-        self.calls.insert(t, (from, n));
-        while self.calls.len() > MOST {
+        let token = Token(FIRST_CALL_TOKEN + self.next_call);
+        self.calls.insert(token, (from, request));
+        while self.calls.len() > MAX_OPEN_CALLS {
             self.calls.pop_first();
         }
-        let ask = match c {
-            Call::Change(c) => Ask::Change(c),
-            Call::OriginHeartbeat(b) => Ask::OriginHeartbeat(b, None),
+        let ask = match call {
+            Call::Change(change) => Ask::Change(change),
+            Call::OriginHeartbeat(heartbeat) => Ask::OriginHeartbeat(heartbeat, None),
             Call::SignOff(tag) => Ask::SignOff(tag),
             Call::Read(held) => Ask::TableIfChanged(held),
         };
-        self.ask(now, t, ask, out);
+        self.ask(now, token, ask, out);
     }
 
-    /// What this step told callers through other nodes goes to those nodes.
+    /// Turns this step's answers to forwarded calls into messages to the nodes that sent them. `first` is
+    /// the index of the step's first output.
     pub(crate) fn answer_calls(&mut self, first: usize, out: &mut [Out]) {
-        for o in out.iter_mut().skip(first) {
-            let Out::Tell(t, r) = o else { continue };
-            if let Some((to, n)) = self.calls.remove(t) {
-                *o = Out::Send(to, Msg::CallAnswered(n, Box::new(CallAnswer::of(r.clone()))));
+        for output in out.iter_mut().skip(first) {
+            let Out::Tell(token, reply) = output else { continue };
+            if let Some((to, request)) = self.calls.remove(token) {
+                *output = Out::Send(to, Msg::CallAnswered(request, Box::new(CallAnswer::of(reply.clone()))));
             }
         }
     }
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -1,3 +1,4 @@
+//! The controller: its state, its start, and the dispatch of inputs.
 use crate::contact::Contact;
 use crate::directory::Directory;
 use crate::disk_health::DiskHealth;
@@ -8,7 +9,7 @@
 use crate::lending::Lending;
 use crate::log::LogSize;
 use crate::membership::MembershipWatch;
-use crate::pending::{Asked, Pending};
+use crate::pending::{Pending, PendingChange};
 use crate::reading::Reader;
 use crate::retired_memberships::Landed;
 pub use crate::settings::{ControllerEnv, Open};
@@ -22,51 +23,55 @@
 use primitives::{Addr, Birth, Mono, NodeId, Span, Token};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One controller: a member of the membership, or one that has yet to join it.
+/// One controller: a member, or one that has not joined yet or was removed.
 pub struct Controller {
     pub(crate) env: ControllerEnv,
-    /// Invariant: the life of the disk; a new disk draws a new one.
+    /// Incarnation of the disk. Invariant: an empty disk gets a new random one.
     pub(crate) birth: Birth,
-    /// The state the era started from, and the state now.
+    /// The state that the era started from, and the state now.
     pub(crate) base: ControlState,
     pub(crate) state: ControlState,
-    /// None while blank or retired.
+    /// `None` while it is not a member.
     pub(crate) consensus: Option<Machine<Cmd>>,
     pub(crate) member_id: MemberId,
-    /// This disk began with the deployment itself: it never founded unless it says so.
+    /// This disk dates from the first start of the deployment: it has founded only if its records say so.
     pub(crate) first: bool,
+    /// Controllers that announced themselves as not joined, and when.
     pub(crate) unjoined: BTreeMap<Addr, (Member, Mono)>,
     pub(crate) subscribers: BTreeMap<NodeId, Subscriber>,
-    /// The number of the last update stream started.
+    /// Id of the update stream that was started last.
     pub(crate) last_stream: u64,
-    /// Since when followers without a seat turn to this controller.
+    /// Subscribers that are not registered, and when their first subscription came.
     pub(crate) newcomers: BTreeMap<NodeId, Mono>,
+    /// The last heartbeat of each origin.
     pub(crate) beats: BTreeMap<Addr, ReceivedHeartbeat>,
     pub(crate) pause_detector: PauseDetector,
     pub(crate) contact: Contact,
-    /// Lives of origins whose drain this controller knows to be in force.
+    /// Incarnations of origins whose drain is known to be in force.
     pub(crate) drained: BTreeMap<Addr, Birth>,
-    /// Beats heard up to then were passed on.
+    /// Heartbeats received up to this time were relayed.
     pub(crate) last_relay: Mono,
-    /// What was lately proposed without an operator, so as not to repeat it.
-    pub(crate) derived: BTreeMap<u64, Mono>,
+    /// Hashes of operations recently proposed without an operator, to avoid repeating them.
+    pub(crate) recent_proposals: BTreeMap<u64, Mono>,
+    /// Commands that were proposed or joined here and are not concluded.
     pub(crate) pending: BTreeMap<CommandId, Pending>,
-    /// Purges that wait for the one under way, to travel together.
-    pub(crate) line: Vec<Asked>,
-    /// Delivered changes that some edge with a live lease from here still lacks.
+    /// Purges that wait until the pending command of purges is delivered, to be proposed together.
+    pub(crate) queued_purges: Vec<PendingChange>,
+    /// Delivered commands that some subscriber with an unexpired lease from here lacks.
     pub(crate) lagging_subscribers: BTreeMap<CommandId, Vec<(NodeId, u64)>>,
-    /// Members to be told, beside its leader, when a change is in force here.
+    /// Members to be told, besides the proposer, when a command is in force here.
     pub(crate) in_force_requesters: BTreeMap<CommandId, BTreeSet<Addr>>,
-    /// Applied here, but not yet known to be applied by a classic quorum.
+    /// Commands applied here and not known to be applied by a classic quorum.
     pub(crate) unconfirmed: BTreeMap<CommandId, UnconfirmedUpdate>,
-    /// Who of earlier rosters is past them.
+    /// For each earlier membership, the members that have retired it.
     pub(crate) landed: Landed,
-    /// When this process began.
+    /// When this process started.
     pub(crate) started: Mono,
-    /// Since when, in this process, it has had a seat.
+    /// Since when, in this process, it has been a member.
     pub(crate) seated: Mono,
-    /// Who was heard in this era.
+    /// Members heard from in this era.
     pub(crate) heard: BTreeSet<MemberId>,
+    /// Callers of pending reads.
     pub(crate) readers: BTreeMap<CommandId, Reader>,
     pub(crate) leadership: Leadership,
     pub(crate) all_keys: KeyList,
@@ -74,13 +79,13 @@
     pub(crate) lending: Lending,
     pub(crate) roll: LedgerSetWatch,
     pub(crate) said: BTreeMap<Addr, Mono>,
-    /// Could decide something when last looked at.
+    /// Whether it could decide anything at the last tick.
     in_touch: bool,
     pub(crate) era_end_proposed_at: Option<Mono>,
-    /// Callers through other nodes, by the tokens given to their calls.
+    /// Forwarded calls: the node and its request id, by the token given to the call here.
     pub(crate) calls: BTreeMap<Token, (Addr, RequestId)>,
     pub(crate) next_call: u64,
-    /// The blank controller named to found, and since when.
+    /// The unjoined controller nominated to found the deployment, and when it was chosen.
     pub(crate) named: Option<(Birth, Mono)>,
     pub(crate) watch: MembershipWatch,
     pub(crate) log: LogSize,
@@ -88,11 +93,12 @@
     pub(crate) transfer: SnapshotTransfer,
     pub(crate) directory: Directory,
     pub(crate) counts: BTreeMap<&'static str, u64>,
-    last: BTreeMap<&'static str, Mono>,
+    /// When each periodic task last ran.
+    last_runs: BTreeMap<&'static str, Mono>,
 }
 
 impl Controller {
-    /// Starts on what the disk holds; `life` is a fresh random number.
+    /// Starts with the records of the disk; `life` is a random number, new for each process.
     pub fn start(
         env: ControllerEnv,
         kept: Vec<Kept>,
@@ -100,7 +106,7 @@
         now: Mono,
         out: &mut Vec<Out>,
     ) -> Controller {
-        let mut k = Controller {
+        let mut controller = Controller {
             birth: Birth(life),
             base: ControlState::default(),
             state: ControlState::default(),
@@ -116,9 +122,9 @@
             contact: Contact::new(now),
             drained: BTreeMap::new(),
             last_relay: Mono(0),
-            derived: BTreeMap::new(),
+            recent_proposals: BTreeMap::new(),
             pending: BTreeMap::new(),
-            line: vec![],
+            queued_purges: vec![],
             lagging_subscribers: BTreeMap::new(),
             in_force_requesters: BTreeMap::new(),
             unconfirmed: BTreeMap::new(),
@@ -144,26 +150,26 @@
             transfer: SnapshotTransfer::default(),
             directory: Directory::default(),
             counts: BTreeMap::new(),
-            last: BTreeMap::new(),
+            last_runs: BTreeMap::new(),
             env,
         };
-        let blank = kept.is_empty();
-        k.wake(kept, now, out);
-        if blank {
-            out.push(Out::Base(Kept::Unjoined(k.birth).encode()));
-            k.first = k.env.open.is_some_and(|o| o.initial);
-            out.extend(Some(Out::Save(Kept::First.encode())).filter(|_| k.first));
+        let empty_disk = kept.is_empty();
+        controller.wake(kept, now, out);
+        if empty_disk {
+            out.push(Out::Base(Kept::Unjoined(controller.birth).encode()));
+            controller.first = controller.env.open.is_some_and(|o| o.initial);
+            out.extend(Some(Out::Save(Kept::First.encode())).filter(|_| controller.first));
         }
-        k.found_as_first_seed(now, out);
-        k
+        controller.found_as_first_seed(now, out);
+        controller
     }
 
-    /// True at most once per `every` for each name.
+    /// Whether the periodic task of this name is due. If so, it is next due after `every`.
     pub(crate) fn due(&mut self, name: &'static str, every: Span, now: Mono) -> bool {
-        let was = self.last.entry(name).or_default();
-        let due = now - *was >= every;
+        let last_run = self.last_runs.entry(name).or_default();
+        let due = now - *last_run >= every;
         if due {
-            *was = now;
+            *last_run = now;
         }
         due
     }
@@ -182,14 +188,14 @@
         self.with_machine(now, out, |m, o| m.tick(now, o));
         let in_touch = self.may_decide(now);
         if self.in_touch && !in_touch {
-            out.push(Out::Alarm("out of contact with most controllers: nothing can be decided"));
+            out.push(Out::Alarm("no contact with a majority of the controllers: no change can be decided"));
             self.reject_waiting_callers(now, out);
         }
         self.in_touch = in_touch;
         self.send_queued_purges(now, out);
         self.land(now, out);
         self.force(now, out);
-        self.ask_applied(now, out);
+        self.query_applied(now, out);
         self.report_slow_disk(now, out);
         self.lead(now, out);
         if self.due("beats", Span::ms(100), now) {
@@ -202,39 +208,39 @@
 }
 
 impl Part for Controller {
-    fn step(&mut self, now: Mono, inp: In, out: &mut Vec<Out>) {
+    fn step(&mut self, now: Mono, input: In, out: &mut Vec<Out>) {
         self.pause_detector.step(now);
         let first = out.len();
-        match inp {
+        match input {
             In::Tick => self.tick(now, out),
-            In::Ask(t, a) => self.ask(now, t, a, out),
-            In::Msg(from, m) => match m {
-                Msg::Agreement(era, member_id, w) => self.on_agreement(now, from, era, member_id, *w, out),
+            In::Ask(token, ask) => self.ask(now, token, ask, out),
+            In::Msg(from, message) => match message {
+                Msg::Agreement(era, member_id, m) => self.on_agreement(now, from, era, member_id, *m, out),
                 Msg::Unjoined(m) => self.on_unjoined(now, m, out),
                 Msg::Snapshot(m) => self.on_snapshot(now, from, *m, out),
                 Msg::WantSnapshot(era, birth) => self.on_want(now, from, era, birth, out),
-                Msg::Heartbeats(bs, at, echo) => self.on_relayed_heartbeats(now, from, bs, at, echo),
-                Msg::InForceQuery(era, cid) => self.on_ask_force(from, era, cid, out),
+                Msg::Heartbeats(hs, at, echo) => self.on_relayed_heartbeats(now, from, hs, at, echo),
+                Msg::InForceQuery(era, cid) => self.on_in_force_query(from, era, cid, out),
                 Msg::InForce(era, cid, member_id) => self.on_in_force(now, era, cid, member_id, out),
                 Msg::Applied(era, cid, member_id) => self.on_applied(now, era, cid, member_id, out),
                 Msg::SnapshotStored(era, birth) => self.on_snapshot_confirmed(now, from, era, birth),
                 Msg::Leaving(member_id) => self.on_leaving(now, member_id),
-                Msg::Landed(said) => self.on_membership_retired(now, said, out),
-                Msg::AppliedQuery(era, cid) => self.on_ask_applied(from, era, cid, out),
+                Msg::Landed(retired) => self.on_membership_retired(now, retired, out),
+                Msg::AppliedQuery(era, cid) => self.on_applied_query(from, era, cid, out),
                 Msg::LeadershipRequest { candidate, epoch, asked } => {
                     self.on_ask_leadership(now, from, (candidate, epoch, asked), out)
                 }
                 Msg::LeadershipVote { voter, epoch, granted } => {
                     self.on_leadership_vote(voter, epoch, granted)
                 }
-                Msg::Synced(then) if from == self.env.addr => self.disk.synced(now, then),
+                Msg::Synced(saved) if from == self.env.addr => self.disk.synced(now, saved),
                 Msg::SlowDisk(member_id) => self.disk.on_slow(now, member_id),
                 Msg::Got { id, feed, got } => self.on_acknowledgement(now, id, feed, got, out),
                 Msg::Sub(s) if self.consensus.is_none() => self.redirect_subscriber(from, &s, out),
                 Msg::Sub(s) => self.on_subscription(now, from, *s, out),
-                Msg::Membership(era, ms) => self.on_membership(era, ms),
-                Msg::Found(b) => self.on_found(now, b, out),
-                Msg::Call(n, c) => self.on_call(now, from, n, *c, out),
+                Msg::Membership(era, members) => self.on_membership(era, members),
+                Msg::Found(birth) => self.on_found(now, birth, out),
+                Msg::Call(request, call) => self.on_call(now, from, request, *call, out),
                 Msg::Filled { id, roll } => self.on_filled(id, roll),
                 _ => self.count("stray"),
             },
