--- a/crates/controller/src/acknowledgement.rs
+++ b/crates/controller/src/acknowledgement.rs
@@ -1,7 +1,7 @@
 //! Submission of changes and their acknowledgement once they are decided, durable and in force.
 //!
 //! Invariant: a change is acknowledged only when a classic quorum of controllers has applied it from
-//! a synced decision and none of them has an unexpired lease out to a subscriber that lagging it. A
+//! a synced decision and none of them has an unexpired lease out to a subscriber that lacks it. A
 //! subscriber's lease needs renewals from a classic quorum, and two such quorums share a controller,
 //! so no subscriber without the change can be serving.
 use crate::controller::Controller;
@@ -16,27 +16,27 @@
 const MAX_PENDING_TIME: Span = Span::secs(60);
 /// How often pending changes are checked.
 const CHECK_INTERVAL: Span = Span::ms(50);
-/// Limits of one command of batched purges: their number, and their size in bytes.
-const MAX_BATCH_PURGES: usize = 100;
+/// Limits of one command of batched changes: their number, and their size in bytes.
+const MAX_BATCH_CHANGES: usize = 100;
 const MAX_BATCH_BYTES: usize = 32 << 10;
 
 impl Controller {
-    /// Proposes a change, or queues it if it is a purge. The caller of `token` is answered when the
+    /// Proposes a change, or queues it to be proposed with others if it can be batched. The caller of `token` is answered when the
     /// change is in force or refused.
     pub(crate) fn submit(&mut self, now: Mono, token: Option<Token>, change: Change, out: &mut Vec<Out>) {
         self.enqueue(now, PendingChange::new(change, token), out);
-        self.send_queued_purges(now, out);
+        self.propose_queued_changes(now, out);
     }
 
-    fn enqueue(&mut self, now: Mono, asked: PendingChange, out: &mut Vec<Out>) {
-        let asked = PendingChange { change: self.without_confirmed_edits(asked.change), ..asked };
-        if self.join_identical_edits(now, &asked) {
+    fn enqueue(&mut self, now: Mono, request: PendingChange, out: &mut Vec<Out>) {
+        let request = PendingChange { change: self.without_confirmed_edits(request.change), ..request };
+        if self.join_identical_edits(now, &request) {
             return;
         }
-        if asked.change.op.is_batchable() {
-            self.queued_purges.push(asked);
+        if request.change.op.is_batchable() {
+            self.queued_changes.push(request);
         } else {
-            self.propose(now, vec![asked], out);
+            self.propose(now, vec![request], out);
         }
     }
 
@@ -44,46 +44,46 @@
     /// no-op; callers that joined it keep waiting. A removal that nobody waits for is dropped: its
     /// origin may have sent a heartbeat since.
     pub(crate) fn again(&mut self, now: Mono, pending: Pending, out: &mut Vec<Out>) {
-        for asked in pending.into_reproposals() {
-            let stale_removal = asked.tokens.is_empty() && matches!(asked.change.op, Op::Remove(..));
+        for request in pending.into_reproposals() {
+            let stale_removal = request.callers.is_empty() && matches!(request.change.op, Op::Remove(..));
             if !stale_removal {
-                self.enqueue(now, asked, out);
+                self.enqueue(now, request, out);
             }
         }
-        self.send_queued_purges(now, out);
+        self.propose_queued_changes(now, out);
     }
 
-    /// Proposes queued purges as one command. Only one such command is pending at a time; later purges
-    /// wait in the queue.
-    pub(crate) fn send_queued_purges(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let has_purges = |p: &Pending| p.asked.iter().any(|a| a.change.op.is_batchable());
-        let busy = self.pending.values().any(|p| p.own && p.verdicts.is_none() && has_purges(p));
-        if !busy && !self.queued_purges.is_empty() {
+    /// Proposes queued changes as one command. Only one such command of this controller is undelivered at
+    /// a time; later changes wait in the queue.
+    pub(crate) fn propose_queued_changes(&mut self, now: Mono, out: &mut Vec<Out>) {
+        let is_batch = |p: &Pending| p.asked.iter().any(|a| a.change.op.is_batchable());
+        let busy = self.pending.values().any(|p| p.own && p.verdicts.is_none() && is_batch(p));
+        if !busy && !self.queued_changes.is_empty() {
             // As many as fit the size limit, but at least one.
             let mut bytes = 0;
             let fits = |a: &&PendingChange| {
                 bytes += a.change.op.size();
                 bytes <= MAX_BATCH_BYTES
             };
-            let n = self.queued_purges.iter().take(MAX_BATCH_PURGES).take_while(fits).count().max(1);
-            let all = self.queued_purges.drain(..n).collect();
+            let n = self.queued_changes.iter().take(MAX_BATCH_CHANGES).take_while(fits).count().max(1);
+            let all = self.queued_changes.drain(..n).collect();
             self.propose(now, all, out);
         }
     }
 
     /// Proposes these changes as one command. If this controller is not a member, their callers are
     /// answered so at once.
-    pub(crate) fn propose(&mut self, now: Mono, asked: Vec<PendingChange>, out: &mut Vec<Out>) {
-        let cmd = Cmd::Changes(Arc::new(asked.iter().map(|a| a.change.clone()).collect()));
+    pub(crate) fn propose(&mut self, now: Mono, requests: Vec<PendingChange>, out: &mut Vec<Out>) {
+        let cmd = Cmd::Changes(Arc::new(requests.iter().map(|a| a.change.clone()).collect()));
         let mut outputs = vec![];
         let cid = self.consensus.as_mut().map(|m| m.propose(now, cmd, &mut outputs));
         match cid {
             Some(cid) => {
-                self.pending.insert(cid, Pending::new(asked, now, true));
+                self.pending.insert(cid, Pending::new(requests, now, true));
             }
             None => {
                 let reject = |token| Out::Tell(token, NOT_A_MEMBER);
-                out.extend(asked.into_iter().flat_map(|a| a.tokens).map(reject));
+                out.extend(requests.into_iter().flat_map(|a| a.callers).map(reject));
             }
         }
         self.handle_outputs(now, outputs, out);
@@ -100,12 +100,12 @@
     /// Adds the caller to the same operation if it is pending or queued. Returns whether there was one.
     pub(crate) fn join_pending(&mut self, token: Token, op: &Op) -> bool {
         let pending = self.pending.values_mut().flat_map(|p| &mut p.asked);
-        let mut waiting = pending.chain(&mut self.queued_purges);
+        let mut waiting = pending.chain(&mut self.queued_changes);
         let same = waiting.find(|a| a.change.id.is_none() && a.change.op == *op);
-        same.map(|a| a.tokens.push(token)).is_some()
+        same.map(|a| a.callers.push(token)).is_some()
     }
 
-    /// Whether the same was not proposed within the last 1.5 s; notes it as proposed now.
+    /// Notes an operation as proposed now. Returns false if it was noted within the last 1.5 s already.
     fn note_recent_proposal(&mut self, now: Mono, op: &Op) -> bool {
         let fingerprint = primitives::hash(&format!("{op:?}"));
         let recent = self.recent_proposals.get(&fingerprint).is_some_and(|t| now - *t < Span::ms(1500));
@@ -149,7 +149,7 @@
         here && !self.lagging_subscribers.contains_key(&cid) && self.earlier_memberships_retired()
     }
 
-    /// Reports commands that no subscriber lagging any more, queries members about pending ones, and
+    /// Reports commands that no subscriber lacks any more, queries members about pending ones, and
     /// drops those that have been pending for too long.
     pub(crate) fn force(&mut self, now: Mono, out: &mut Vec<Out>) {
         let unfinished = std::mem::take(&mut self.lagging_subscribers);
@@ -214,8 +214,8 @@
         let quorum = classic_quorum(self.base.members.len()).max(self.min_copies());
         let Some(pending) = self.pending.get(&cid) else { return };
         let Some(verdicts) = &pending.verdicts else { return };
-        let has_caller = |a: &PendingChange| !a.tokens.is_empty() || matches!(a.change.op, Op::Seats { .. });
-        // A void change depends on an earlier one, which must be in force as well; a refusal depends on none.
+        let has_caller = |a: &PendingChange| !a.callers.is_empty() || matches!(a.change.op, Op::Seats { .. });
+        // A change is void because of an earlier one, which must be in force as well; refusals do not wait.
         let waits = |(a, v): (&PendingChange, &Verdict)| has_caller(a) && !v.is_refusal();
         let must_wait = pending.asked.iter().zip(verdicts).any(waits);
         let in_force = pending.in_force_at.len() >= quorum;
@@ -223,13 +223,13 @@
             return;
         }
         let Some(pending) = self.pending.remove(&cid) else { return };
-        for (asked, verdict) in pending.asked.into_iter().zip(pending.verdicts.unwrap_or_default()) {
-            self.roll.forced(now, &asked.change, &verdict);
+        for (request, verdict) in pending.asked.into_iter().zip(pending.verdicts.unwrap_or_default()) {
+            self.roll.forced(now, &request.change, &verdict);
             if in_force {
-                self.note_drained(&asked.change);
+                self.note_drained(&request.change);
             }
-            let receipt = NodeReply::Change(verdict);
-            out.extend(asked.tokens.into_iter().map(|t| Out::Tell(t, receipt.clone())));
+            let reply = NodeReply::Change(verdict);
+            out.extend(request.callers.into_iter().map(|t| Out::Tell(t, reply.clone())));
         }
     }
 }
--- a/crates/controller/src/apply.rs
+++ b/crates/controller/src/apply.rs
@@ -55,7 +55,7 @@
         match cmd {
             Cmd::Look => self.answer_reader(now, cid, out),
             Cmd::Noop => {
-                self.retry_reading(now, cid, out);
+                self.retry_read(now, cid, out);
                 let pending = self.pending.remove(&cid);
                 pending.into_iter().for_each(|p| self.again(now, p, out));
             }
@@ -80,7 +80,7 @@
                 self.note_lagging_subscribers(now, cid, out);
                 self.pending.entry(cid).and_modify(|p| p.verdicts = Some(verdicts));
                 self.conclude(now, cid, out);
-                self.send_queued_purges(now, out);
+                self.propose_queued_changes(now, out);
             }
         }
     }
--- a/crates/controller/src/contact.rs
+++ b/crates/controller/src/contact.rs
@@ -108,13 +108,13 @@
     pub(crate) fn reject_waiting_callers(&mut self, now: Mono, out: &mut Vec<Out>) {
         const LOST: &str = "contact with a majority of the controllers was lost";
         self.reject_all_reads(now, LOST, out);
-        let queued = std::mem::take(&mut self.queued_purges);
+        let queued = std::mem::take(&mut self.queued_changes);
         let (with_callers, without): (Vec<_>, Vec<_>) =
-            queued.into_iter().partition(|a| !a.tokens.is_empty());
-        self.queued_purges = without;
-        let mut tokens: Vec<_> = with_callers.into_iter().flat_map(|a| a.tokens).collect();
-        for asked in self.pending.values_mut().flat_map(|p| &mut p.asked) {
-            tokens.append(&mut asked.tokens);
+            queued.into_iter().partition(|a| !a.callers.is_empty());
+        self.queued_changes = without;
+        let mut tokens: Vec<_> = with_callers.into_iter().flat_map(|a| a.callers).collect();
+        for request in self.pending.values_mut().flat_map(|p| &mut p.asked) {
+            tokens.append(&mut request.callers);
         }
         out.extend(tokens.into_iter().map(|t| Out::Tell(t, NodeReply::Unavailable(LOST))));
     }
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -55,8 +55,8 @@
     pub(crate) recent_proposals: BTreeMap<u64, Mono>,
     /// Commands that were proposed or joined here and are not concluded.
     pub(crate) pending: BTreeMap<CommandId, Pending>,
-    /// Purges that wait until the pending command of purges is delivered, to be proposed together.
-    pub(crate) queued_purges: Vec<PendingChange>,
+    /// Changes that wait until the pending batch is delivered, to be proposed together.
+    pub(crate) queued_changes: Vec<PendingChange>,
     /// Delivered commands that some subscriber with an unexpired lease from here lacks.
     pub(crate) lagging_subscribers: BTreeMap<CommandId, Vec<(NodeId, u64)>>,
     /// Members to be told, besides the proposer, when a command is in force here.
@@ -124,7 +124,7 @@
             last_relay: Mono(0),
             recent_proposals: BTreeMap::new(),
             pending: BTreeMap::new(),
-            queued_purges: vec![],
+            queued_changes: vec![],
             lagging_subscribers: BTreeMap::new(),
             in_force_requesters: BTreeMap::new(),
             unconfirmed: BTreeMap::new(),
@@ -192,7 +192,7 @@
             self.reject_waiting_callers(now, out);
         }
         self.in_touch = in_touch;
-        self.send_queued_purges(now, out);
+        self.propose_queued_changes(now, out);
         self.land(now, out);
         self.force(now, out);
         self.query_applied(now, out);
--- a/crates/controller/src/reading.rs
+++ b/crates/controller/src/reading.rs
@@ -52,7 +52,7 @@
     }
 
     /// Proposes a read again whose command was replaced by a no-op.
-    pub(crate) fn retry_reading(&mut self, now: Mono, cid: CommandId, out: &mut Vec<Out>) {
+    pub(crate) fn retry_read(&mut self, now: Mono, cid: CommandId, out: &mut Vec<Out>) {
         if let Some(reader) = self.readers.remove(&cid) {
             self.read(now, reader, out);
         }
--- a/crates/controller/src/update_stream.rs
+++ b/crates/controller/src/update_stream.rs
@@ -2,8 +2,8 @@
 //! pieces of bounded size and resent from the last acknowledged number.
 //!
 //! Invariants: sequence numbers only grow, also when the stream is restarted, so a number that was
-//! noted earlier never covers less than it did then. A piece is
-//! sent only while nothing, or less than a window of bytes, is in flight.
+//! noted earlier never covers less than it did then. A piece is sent only while nothing, or less than
+//! a window of bytes, is in flight.
 pub use crate::update_piece::Piece;
 use crate::update_piece::{Batch, InFlightPiece};
 pub use crate::update_terms::{DeliveryMode, SendTerms, SubscriberCounts, MIN_WINDOW_BYTES};
