--- a/crates/controller/src/visibility.rs
+++ b/crates/controller/src/visibility.rs
@@ -2,8 +2,8 @@
 //!
 //! Invariant: an update is sent only once a classic quorum of controllers is known to have applied it.
 //! An edge's lease needs renewals from a classic quorum, and each controller renews it only for an edge
-//! that holds everything this controller applied. So whatever one edge has shown, no edge serves
-//! without, not even one that has just started.
+//! that holds everything this controller applied. So whatever one edge has shown, every
+//! serving edge holds, even one that has just started.
 use crate::controller::Controller;
 use caesar::{classic_quorum, CommandId, MemberId};
 use control_state::*;
@@ -35,7 +35,8 @@
         self.base.members.len() == 1 || self.heard.len() >= self.quorum()
     }
 
-    /// Whether the whole state may be sent: nothing in it is unconfirmed.
+    /// Whether the whole state may be sent: nothing in it is unconfirmed, a quorum was heard from in this
+    /// era, and all earlier memberships are retired.
     pub(crate) fn may_expose_state(&self) -> bool {
         self.unconfirmed.is_empty() && self.heard_from_quorum() && self.earlier_memberships_retired()
     }
