--- a/crates/controller/src/acknowledgement.rs
+++ b/crates/controller/src/acknowledgement.rs
@@ -21,13 +21,14 @@
 const MAX_BATCH_BYTES: usize = 32 << 10;
 
 impl Controller {
-    /// Proposes a change, or queues it to be proposed with others if it can be batched. The caller of `token` is answered when the
-    /// change is in force or refused.
+    /// Proposes a change, or queues it to be proposed with others if it can be batched. The caller of
+    /// `token` is answered when the change is in force or refused.
     pub(crate) fn submit(&mut self, now: Mono, token: Option<Token>, change: Change, out: &mut Vec<Out>) {
         self.enqueue(now, PendingChange::new(change, token), out);
         self.propose_queued_changes(now, out);
     }
 
+    /// Joins an identical pending change, queues the change for a batch, or proposes it.
     fn enqueue(&mut self, now: Mono, request: PendingChange, out: &mut Vec<Out>) {
         let request = PendingChange { change: self.without_confirmed_edits(request.change), ..request };
         if self.join_identical_edits(now, &request) {
@@ -182,6 +183,7 @@
         }
     }
 
+    /// A member asks whether a command is in force here: answered now, or once it is.
     pub(crate) fn on_in_force_query(&mut self, from: Addr, era: Era, cid: CommandId, out: &mut Vec<Out>) {
         if era != self.base.era {
             return;
@@ -193,6 +195,7 @@
         }
     }
 
+    /// A member reports that a command is in force at its side.
     pub(crate) fn on_in_force(
         &mut self,
         now: Mono,
@@ -211,14 +214,14 @@
 
     /// Answers the callers of a decided command once it is in force, or if no verdict has to wait for that.
     pub(crate) fn conclude(&mut self, now: Mono, cid: CommandId, out: &mut Vec<Out>) {
-        let quorum = classic_quorum(self.base.members.len()).max(self.min_copies());
+        let required = classic_quorum(self.base.members.len()).max(self.min_copies());
         let Some(pending) = self.pending.get(&cid) else { return };
         let Some(verdicts) = &pending.verdicts else { return };
         let has_caller = |a: &PendingChange| !a.callers.is_empty() || matches!(a.change.op, Op::Seats { .. });
         // A change is void because of an earlier one, which must be in force as well; refusals do not wait.
         let waits = |(a, v): (&PendingChange, &Verdict)| has_caller(a) && !v.is_refusal();
         let must_wait = pending.asked.iter().zip(verdicts).any(waits);
-        let in_force = pending.in_force_at.len() >= quorum;
+        let in_force = pending.in_force_at.len() >= required;
         if must_wait && !in_force {
             return;
         }
--- a/crates/controller/src/apply.rs
+++ b/crates/controller/src/apply.rs
@@ -51,6 +51,7 @@
         }
     }
 
+    /// Applies a command at its place in the agreed order.
     fn deliver(&mut self, now: Mono, cid: CommandId, cmd: Cmd, out: &mut Vec<Out>) {
         match cmd {
             Cmd::Look => self.answer_reader(now, cid, out),
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -72,10 +72,10 @@
         self.ask(now, token, ask, out);
     }
 
-    /// Turns this step's answers to forwarded calls into messages to the nodes that sent them. `first` is
-    /// the index of the step's first output.
-    pub(crate) fn answer_calls(&mut self, first: usize, out: &mut [Out]) {
-        for output in out.iter_mut().skip(first) {
+    /// Turns the answers to forwarded calls into messages to the nodes that sent them, among the outputs
+    /// from index `first_output` on.
+    pub(crate) fn answer_calls(&mut self, first_output: usize, out: &mut [Out]) {
+        for output in out.iter_mut().skip(first_output) {
             let Out::Tell(token, reply) = output else { continue };
             if let Some((to, request)) = self.calls.remove(token) {
                 *output = Out::Send(to, Msg::CallAnswered(request, Box::new(CallAnswer::of(reply.clone()))));
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -210,7 +210,7 @@
 impl Part for Controller {
     fn step(&mut self, now: Mono, input: In, out: &mut Vec<Out>) {
         self.pause_detector.step(now);
-        let first = out.len();
+        let first_output = out.len();
         match input {
             In::Tick => self.tick(now, out),
             In::Ask(token, ask) => self.ask(now, token, ask, out),
@@ -245,6 +245,6 @@
                 _ => self.count("stray"),
             },
         }
-        self.answer_calls(first, out);
+        self.answer_calls(first_output, out);
     }
 }
--- a/crates/controller/src/directory.rs
+++ b/crates/controller/src/directory.rs
@@ -45,6 +45,7 @@
         }
     }
 
+    /// Another controller reports the membership that it knows.
     pub(crate) fn on_membership(&mut self, era: Era, members: Vec<Member>) {
         self.directory.note(era, members);
     }
@@ -86,7 +87,7 @@
                 && self.due("seatless", NOT_MEMBER_ALARM_AFTER, now)
             {
                 out.push(Out::Alarm(
-                    "no membership for 10 s or more: the deployment may survive fewer losses than configured",
+                    "not a member for 10 s or more: the deployment may survive fewer losses than configured",
                 ));
             }
         }
--- a/crates/controller/src/leaving.rs
+++ b/crates/controller/src/leaving.rs
@@ -44,6 +44,7 @@
         self.connected(now) && one_stays && (dispensable || self.hears_newcomer(now))
     }
 
+    /// A member announces that it is leaving.
     pub(crate) fn on_leaving(&mut self, now: Mono, member_id: caesar::MemberId) {
         if self.base.member(member_id).is_some() {
             self.watch.note_leaving(member_id, now);
--- a/crates/controller/src/update_stream.rs
+++ b/crates/controller/src/update_stream.rs
@@ -109,7 +109,8 @@
         !self.is_started() || now - self.started_at >= wait
     }
 
-    /// Restarts the stream under the given id with the whole state, given as the list of its keys.
+    /// Starts a new stream under the given id with the whole state, given as the list of its keys.
+    /// Sequence numbers continue from the last one.
     pub fn start(&mut self, now: Mono, id: u64, state: Arc<[Key]>) {
         let start = self.last + 1;
         let initial_end = start + state.len() as u64;
@@ -167,6 +168,7 @@
         self.in_flight.retain(|p| p.to > number);
     }
 
+    /// Bytes that were sent and are not acknowledged.
     fn bytes_in_flight(&self) -> usize {
         self.in_flight.iter().map(|p| p.bytes).sum()
     }
--- a/crates/controller/src/visibility.rs
+++ b/crates/controller/src/visibility.rs
@@ -72,6 +72,7 @@
         out.extend(others.map(|m| Out::Send(m.addr, Msg::Applied(era, cid, member_id))));
     }
 
+    /// A member reports that it has applied a command. At a classic quorum its updates are sent.
     pub(crate) fn on_applied(
         &mut self,
         now: Mono,
