--- a/crates/controller/src/disk_health.rs
+++ b/crates/controller/src/disk_health.rs
@@ -1,72 +1,77 @@
-//! Whose disk keeps up. A disk that takes long to sync holds up every vote and word of its
-//! controller, which then leaves leadership to the next in order.
+//! Disk health of the members. A disk that syncs slowly delays every vote and message of its
+//! controller, which therefore leaves the leadership to the next member in order.
 use crate::controller::Controller;
 use caesar::MemberId;
 use control_state::*;
 use primitives::{Mono, Span};
 use std::collections::BTreeMap;
 
-/// A sync that takes longer is slow.
-const SLOW: Span = Span::ms(500);
-/// A disk counts as slow for so long after it was.
-const PENALTY: Span = Span::secs(5);
-/// A word of another's slow disk stands for so long.
-const STANDS: Span = Span::secs(3);
-/// How often it is told.
-const TELL: Span = Span::ms(300);
-/// After so long a probe was lost, not late.
-const LOST: Span = Span::secs(10);
+/// A sync that takes longer counts as slow.
+const SLOW_SYNC: Span = Span::ms(500);
+/// A disk counts as slow for this long after a slow sync.
+const SLOW_PERIOD: Span = Span::secs(5);
+/// Validity of a slow-disk report from another member.
+const REPORT_VALIDITY: Span = Span::secs(3);
+/// Interval between slow-disk reports.
+const REPORT_INTERVAL: Span = Span::ms(300);
+/// A probe that has not returned after this time is considered lost, not late.
+const PROBE_TIMEOUT: Span = Span::secs(10);
 
+/// Disk health of this controller and its peers.
 #[derive(Default)]
 pub(crate) struct DiskHealth {
-    /// A save under way, since when. Its probe comes back once it is synced.
+    /// Start of the save in progress. A probe sent after it returns once the save is synced.
     probe: Option<Mono>,
     slow_until: Mono,
-    /// Until when each member's disk counts as slow, this one's included.
-    slow: BTreeMap<MemberId, Mono>,
+    /// Until when each member's disk counts as slow, including this one's.
+    reported_slow_until: BTreeMap<MemberId, Mono>,
 }
 
 impl DiskHealth {
-    /// Something is saved; whether a probe is to follow it.
+    /// Notes a save; returns whether to send a probe after it.
     pub(crate) fn saving(&mut self, now: Mono) -> bool {
-        let free = self.probe.is_none_or(|t| now - t >= LOST);
-        if free {
+        let may_probe = self.probe.is_none_or(|t| now - t >= PROBE_TIMEOUT);
+        if may_probe {
             self.probe = Some(now);
         }
-        free
+        may_probe
     }
 
-    /// The probe sent then came back.
-    pub(crate) fn synced(&mut self, now: Mono, then: Mono) {
-        if self.probe == Some(then) {
+    /// Handles the return of the probe sent at `probed`.
+    pub(crate) fn synced(&mut self, now: Mono, probed: Mono) {
+        if self.probe == Some(probed) {
             self.probe = None;
         }
-        if now - then > SLOW {
-            self.slow_until = now + PENALTY;
+        if now - probed > SLOW_SYNC {
+            self.slow_until = now + SLOW_PERIOD;
         }
     }
 
+    /// Whether this disk is slow: it was recently, or a sync has been taking too long.
     fn is_slow(&self, now: Mono) -> bool {
-        self.slow_until > now || self.probe.is_some_and(|t| now - t > SLOW)
+        self.slow_until > now || self.probe.is_some_and(|t| now - t > SLOW_SYNC)
     }
 
+    /// Records a slow-disk report.
     pub(crate) fn on_slow(&mut self, now: Mono, member_id: MemberId) {
-        self.slow.insert(member_id, now + STANDS);
+        self.reported_slow_until.insert(member_id, now + REPORT_VALIDITY);
     }
 
+    /// Whether there is no valid slow-disk report about the member.
     pub(crate) fn keeps_up(&self, now: Mono, member_id: MemberId) -> bool {
-        self.slow.get(&member_id).is_none_or(|t| *t <= now)
+        self.reported_slow_until.get(&member_id).is_none_or(|t| *t <= now)
     }
 }
 
 impl Controller {
-    /// Tells the others while its own disk is slow.
+    /// Reports a slow disk to the other members for as long as it is slow.
     pub(crate) fn report_slow_disk(&mut self, now: Mono, out: &mut Vec<Out>) {
-        if self.consensus.is_none() || !self.disk.is_slow(now) || !self.due("slow disk", TELL, now) {
+        if self.consensus.is_none() || !self.disk.is_slow(now) || !self.due("slow disk", REPORT_INTERVAL, now)
+        {
             return;
         }
         self.disk.on_slow(now, self.member_id);
-        let word = |m: &Member| Out::SendNow(m.addr, Msg::SlowDisk(self.member_id));
-        out.extend(self.base.members.iter().filter(|m| m.member_id != self.member_id).map(word));
+        let report = |m: &Member| Out::SendNow(m.addr, Msg::SlowDisk(self.member_id));
+        out.extend(self.base.members.iter().filter(|m| m.member_id != self.member_id).map(report));
     }
 }
--- a/crates/controller/src/era.rs
+++ b/crates/controller/src/era.rs
@@ -1,4 +1,4 @@
-//! Waking on the disk's records, and eras.
+//! Restoring a controller from its log, and transitions between eras.
 use crate::controller::Controller;
 use crate::stored_records::Kept;
 use caesar::{LogRecord, Machine};
@@ -6,45 +6,46 @@
 use primitives::Mono;
 
 impl Controller {
-    pub(crate) fn wake(&mut self, kept: Vec<Kept>, now: Mono, out: &mut Vec<Out>) {
-        let mut recs: Vec<LogRecord<Cmd>> = vec![];
-        for k in kept {
-            match k {
-                Kept::Unjoined(b) => self.birth = b,
+    /// Restores the state from the records on disk.
+    pub(crate) fn wake(&mut self, stored: Vec<Kept>, now: Mono, out: &mut Vec<Out>) {
+        let mut log_records: Vec<LogRecord<Cmd>> = vec![];
+        for record in stored {
+            match record {
+                Kept::Unjoined(birth) => self.birth = birth,
                 Kept::First => self.first = true,
-                Kept::Base(b, p) => {
-                    self.birth = b;
-                    self.base = *p;
-                    recs.clear();
+                Kept::Base(birth, state) => {
+                    self.birth = birth;
+                    self.base = *state;
+                    log_records.clear();
                 }
-                Kept::Whole(b, p, all) => {
-                    self.birth = b;
-                    self.base = *p;
-                    recs = all;
+                Kept::Whole(birth, state, records) => {
+                    self.birth = birth;
+                    self.base = *state;
+                    log_records = records;
                 }
-                Kept::Agreement(era, r) if era == self.base.era => recs.push(r),
+                Kept::Agreement(era, record) if era == self.base.era => log_records.push(record),
                 Kept::Agreement(..) => (),
             }
         }
         self.state = self.base.clone();
-        self.seat(now);
-        let replay = |m: &mut Machine<Cmd>, o: &mut Vec<_>| {
-            recs.into_iter().for_each(|r| m.replay(r));
-            m.resume(now, o);
+        self.assume_membership(now);
+        let replay = |machine: &mut Machine<Cmd>, o: &mut Vec<_>| {
+            log_records.into_iter().for_each(|record| machine.replay(record));
+            machine.resume(now, o);
         };
         self.with_machine(now, out, replay);
-        // Leases given before the stop may still run: as if all were given just now.
+        // Leases granted before the stop may still be valid: treat them all as granted just now.
         let until = now + self.env.lease.padded();
         self.assume_leases(until);
     }
 
-    /// Takes the seat that the membership gives this disk, if any.
-    fn seat(&mut self, now: Mono) {
-        let mine = self.state.member_at(self.env.addr, self.birth);
-        let had = self.consensus.is_some();
-        self.consensus = mine.map(|m| m.member_id).map(|member_id| {
+    /// Starts a replica if the membership contains this disk, and stops it otherwise.
+    fn assume_membership(&mut self, now: Mono) {
+        let own_slot = self.state.member_at(self.env.addr, self.birth);
+        let was_member = self.consensus.is_some();
+        self.consensus = own_slot.map(|m| m.member_id).map(|member_id| {
             self.member_id = member_id;
-            self.seated = if had { self.seated } else { now };
+            self.seated = if was_member { self.seated } else { now };
             Machine::new(
                 member_id,
                 self.state.members.iter().map(|m| m.member_id).collect(),
@@ -54,21 +55,21 @@
         });
     }
 
-    /// Proposes to end the era; the next one has these members.
+    /// Proposes to end the era and start the next one with these members.
     pub(crate) fn propose_next_era(&mut self, now: Mono, members: Vec<Member>, out: &mut Vec<Out>) {
         self.era_end_proposed_at = Some(now);
-        let landed = self.retired_up_to();
-        self.with_machine(now, out, |m, o| {
-            m.propose(now, Cmd::Cut(members, landed), o);
+        let retired_up_to = self.retired_up_to();
+        self.with_machine(now, out, |machine, o| {
+            machine.propose(now, Cmd::Cut(members, retired_up_to), o);
         });
     }
 
-    /// Starts an era from a snapshot: it is saved first, all later records after it.
-    pub(crate) fn enter(&mut self, now: Mono, p: ControlState, out: &mut Vec<Out>) {
-        let clock = self.consensus.as_ref().map_or(0, |m| m.clock()).max(p.clock);
+    /// Starts an era from a snapshot. The snapshot is saved before any record of the new era.
+    pub(crate) fn enter(&mut self, now: Mono, state: ControlState, out: &mut Vec<Out>) {
+        let clock = self.consensus.as_ref().map_or(0, |m| m.clock()).max(state.clock);
         let tally = self.tally();
-        self.base = p.clone();
-        self.state = p;
+        self.base = state.clone();
+        self.state = state;
         self.lagging_subscribers.clear();
         self.in_force_requesters.clear();
         self.unconfirmed.clear();
@@ -77,41 +78,41 @@
         self.save_base(out);
         self.transfer.receiver.cancel();
         let caught_up = self.caught_up();
-        self.seat(now);
-        self.with_machine(now, out, |m, o| {
-            m.tally = tally;
-            m.advance_clock(clock, o);
+        self.assume_membership(now);
+        self.with_machine(now, out, |machine, o| {
+            machine.tally = tally;
+            machine.advance_clock(clock, o);
             if caught_up {
-                m.mark_caught_up();
+                machine.mark_caught_up();
             }
         });
         self.count("eras");
-        out.push(Out::Note("an era began"));
+        out.push(Out::Note("a new era started"));
         if self.consensus.is_none() {
-            out.push(Out::Alarm("the new roster has no seat for this controller"));
+            out.push(Out::Alarm("this controller is not a member of the new era"));
         }
-        let open = std::mem::take(&mut self.pending);
-        open.into_values().for_each(|p| self.again(now, p, out));
+        let pending = std::mem::take(&mut self.pending);
+        pending.into_values().for_each(|change| self.again(now, change, out));
         self.repropose_readings(now, out);
     }
 
-    /// What another state has otherwise than this one.
-    pub(crate) fn differs(&self, p: &ControlState) -> Vec<Key> {
-        let other = |(k, it): &(&Key, &Item)| self.state.items.get(*k) != Some(it);
-        p.items.iter().filter(other).map(|(k, _)| k.clone()).collect()
+    /// Keys whose items in `other` differ from this controller's state.
+    pub(crate) fn differs(&self, other: &ControlState) -> Vec<Key> {
+        let differing = |(key, item): &(&Key, &Item)| self.state.items.get(*key) != Some(item);
+        other.items.iter().filter(differing).map(|(key, _)| key.clone()).collect()
     }
 
-    /// A state of a later era replaces what this controller has.
-    pub(crate) fn adopt(&mut self, now: Mono, p: ControlState, out: &mut Vec<Out>) {
-        let mine = p.member_at(self.env.addr, self.birth).is_some();
-        if p.era <= self.base.era || !(mine || self.consensus.is_some()) {
+    /// Replaces this controller's state with that of a later era.
+    pub(crate) fn adopt(&mut self, now: Mono, state: ControlState, out: &mut Vec<Out>) {
+        let is_member = state.member_at(self.env.addr, self.birth).is_some();
+        if state.era <= self.base.era || !(is_member || self.consensus.is_some()) {
             return;
         }
-        let news = self.differs(&p);
+        let changed_keys = self.differs(&state);
         self.count("adopted");
-        self.enter(now, p, out);
-        // It may have been away for long: the others are asked anew.
+        self.enter(now, state, out);
+        // This controller may have been away for long, so it catches up with its peers again.
         self.consensus.as_mut().into_iter().for_each(|m| m.restart_catch_up(now));
-        self.number(&news, None);
+        self.number(&changed_keys, None);
     }
 }
--- a/crates/controller/src/founding.rs
+++ b/crates/controller/src/founding.rs
@@ -1,72 +1,80 @@
-//! Founding a deployment, and letting a replaced controller in.
+//! Founding a deployment with listed controllers, and replacing a controller.
 use crate::controller::Controller;
 use caesar::MemberId;
 use control_state::*;
 use primitives::{Addr, Mono, Span};
 
 impl Controller {
-    pub(crate) fn on_unjoined(&mut self, now: Mono, m: Member, out: &mut Vec<Out>) {
-        let (addr, birth) = (m.addr, m.birth);
-        self.unjoined.insert(addr, (m.clone(), now));
+    /// Handles the announcement of an unjoined controller.
+    pub(crate) fn on_unjoined(&mut self, now: Mono, newcomer: Member, out: &mut Vec<Out>) {
+        let (addr, birth) = (newcomer.addr, newcomer.birth);
+        self.unjoined.insert(addr, (newcomer.clone(), now));
         self.send_membership(addr, out);
         if self.consensus.is_none() {
-            return self.maybe_found(now, out);
+            return self.found_once_all_present(now, out);
         }
         if self.base.member_at(addr, birth).is_some() {
             self.offer_snapshot(now, addr, out);
-        } else if self.env.open.is_none() && self.base.members.iter().any(|x| x.addr == addr) {
-            // Its disk was lost: it gets a new id in its old place.
-            self.swap_in(now, addr, m, out);
+        } else if self.env.open.is_none() && self.base.members.iter().any(|m| m.addr == addr) {
+            // Its disk was lost: replace it at the same address under a new id.
+            self.propose_replacement(now, addr, newcomer, out);
         }
     }
 
-    /// The first controllers of all: every one of them must be there, each with the
-    /// life its disk was given, before any of them decides anything.
-    fn maybe_found(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let all = self.env.seeds.iter().all(|s| self.unjoined.contains_key(s));
-        if !(self.env.found && all && self.base.era == Era(0)) {
+    /// Starts the first era once every listed controller has announced the incarnation of its disk.
+    /// None of them decides anything before that.
+    fn found_once_all_present(&mut self, now: Mono, out: &mut Vec<Out>) {
+        let all_present = self.env.seeds.iter().all(|s| self.unjoined.contains_key(s));
+        if !(self.env.found && all_present && self.base.era == Era(0)) {
             return;
         }
-        let mut ms: Vec<Member> =
+        let mut members: Vec<Member> =
             self.env.seeds.iter().filter_map(|s| self.unjoined.get(s)).map(|(m, _)| m.clone()).collect();
-        ms.push(self.member(MemberId(0)));
-        ms.sort_by_key(|m| m.addr);
-        ms.dedup_by_key(|m| m.addr);
-        ms.iter_mut().enumerate().for_each(|(i, m)| m.member_id = MemberId(i as u16));
-        let p = ControlState::default().cut(&ms, Era(0), 0);
-        self.enter(now, p, out);
-        self.show_founded(now, out);
+        members.push(self.member(MemberId(0)));
+        members.sort_by_key(|m| m.addr);
+        members.dedup_by_key(|m| m.addr);
+        members.iter_mut().enumerate().for_each(|(i, m)| m.member_id = MemberId(i as u16));
+        let state = ControlState::default().cut(&members, Era(0), 0);
+        self.enter(now, state, out);
+        self.offer_founding_snapshot(now, out);
     }
 
-    /// The others may have missed an unjoined controller.
-    fn show_founded(&mut self, now: Mono, out: &mut Vec<Out>) {
+    /// The other controllers may have missed an announcement, so they are offered the first state.
+    fn offer_founding_snapshot(&mut self, now: Mono, out: &mut Vec<Out>) {
         let seeds = self.env.seeds.clone();
         seeds.into_iter().for_each(|s| self.offer_snapshot(now, s, out));
     }
 
+    /// Proposes to replace a controller on an operator's request. Refused without a quorum, if
+    /// `old` is no member's address, or if no announcement from `new` was heard in the last 5 s.
     pub(crate) fn replace(&mut self, now: Mono, old: Addr, new: Addr, out: &mut Vec<Out>) -> NodeReply {
-        let there = self.base.members.iter().any(|m| m.addr == old);
-        let heard = self.unjoined.get(&new).filter(|(_, t)| now - *t < Span::secs(5)).map(|(m, _)| m.clone());
-        match (there, heard) {
+        let is_member = self.base.members.iter().any(|m| m.addr == old);
+        let newcomer =
+            self.unjoined.get(&new).filter(|(_, t)| now - *t < Span::secs(5)).map(|(m, _)| m.clone());
+        match (is_member, newcomer) {
             _ if !self.connected(now) => NodeReply::Unavailable("no quorum of controllers in reach"),
-            (false, _) => NodeReply::Unavailable("no controller of the roster is at the old address"),
-            (_, None) => NodeReply::Unavailable("no blank controller was heard from the new address"),
-            (true, Some(m)) => {
-                self.swap_in(now, old, m, out);
+            (false, _) => NodeReply::Unavailable("no member controller has the old address"),
+            (_, None) => {
+                NodeReply::Unavailable("no unjoined controller has announced itself from the new address")
+            }
+            (true, Some(newcomer)) => {
+                self.propose_replacement(now, old, newcomer, out);
                 NodeReply::Acknowledged
             }
         }
     }
 
-    fn swap_in(&mut self, now: Mono, old: Addr, new: Member, out: &mut Vec<Out>) {
+    /// Proposes an era in which `new` replaces the member at `old`, at most once per 2 s.
+    fn propose_replacement(&mut self, now: Mono, old: Addr, new: Member, out: &mut Vec<Out>) {
         if self.era_end_proposed_at.is_some_and(|t| now - t < Span::secs(2)) {
             return;
         }
         self.count("swaps");
-        out.push(Out::Note("proposing a new controller in an old one's seat"));
+        out.push(Out::Note("proposing to replace a controller"));
         let member_id = MemberId(self.state.next_member_id);
-        let swap = |m: &Member| if m.addr == old { Member { member_id, ..new.clone() } } else { m.clone() };
-        let members: Vec<Member> = self.state.members.iter().map(swap).collect();
+        let replace =
+            |m: &Member| if m.addr == old { Member { member_id, ..new.clone() } } else { m.clone() };
+        let members: Vec<Member> = self.state.members.iter().map(replace).collect();
         self.propose_next_era(now, members, out);
     }
 }
--- a/crates/controller/src/heartbeats.rs
+++ b/crates/controller/src/heartbeats.rs
@@ -1,62 +1,63 @@
-//! Origins' beats: soft, passed around; only register, drain and removal are
-//! commands.
+//! Heartbeats of origins. They are soft state, relayed between controllers; only registration,
+//! drain and removal are agreed commands.
 use crate::controller::Controller;
 use control_state::*;
 use primitives::{Addr, Birth, Mono, Span, Token};
 use std::collections::BTreeMap;
 
-/// Beats older than this are forgotten.
-const OLD: Span = Span::secs(10);
+/// Heartbeats older than this are discarded.
+const HEARTBEAT_RETENTION: Span = Span::secs(10);
 
-/// What an origin last said of itself.
+/// The latest heartbeat of an origin.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedHeartbeat {
-    /// With when it was said, at the earliest.
+    /// The heartbeat, and the earliest time at which it may have been sent.
     pub last: (OriginHeartbeat, Mono),
-    /// When it was taken in here.
-    pub taken: Mono,
+    /// When this controller received it.
+    pub received: Mono,
 }
 
 impl ReceivedHeartbeat {
     pub(crate) fn beat(&self) -> &OriginHeartbeat {
         &self.last.0
     }
-    pub(crate) fn said(&self) -> Mono {
+    pub(crate) fn sent(&self) -> Mono {
         self.last.1
     }
 }
 
-/// What this controller knows of pauses, its own and the links'.
+/// Detects pauses of this process, and dates messages that waited in a queue or on a link.
 #[derive(Debug)]
 pub(crate) struct PauseDetector {
-    last: Mono,
-    /// The last long pause: from when to when.
+    last_step: Mono,
+    /// Start and end of the last long pause.
     pause: (Mono, Mono),
-    /// The clocks of other controllers, as last heard.
+    /// Clocks of the other controllers, as last received; echoed back to them.
     clocks: BTreeMap<Addr, Mono>,
 }
 
-/// Ticks come every hundredth of a second; without a step for so long it was frozen.
-const PAUSE: Span = Span::ms(250);
-/// A beat that waited for longer is answered no more, nor enters its origin.
-const STALE: Span = Span::secs(1);
-/// What waited out a pause is taken in within this after it.
-const BACKLOG: Span = Span::ms(500);
+/// Ticks arrive every 10 ms; a process without a step for this long was paused.
+const MIN_PAUSE: Span = Span::ms(250);
+/// An older heartbeat is neither acknowledged nor registers its origin.
+const MAX_HEARTBEAT_AGE: Span = Span::secs(1);
+/// Messages that waited during a pause are received within this time after it.
+const BACKLOG_WINDOW: Span = Span::ms(500);
 
 impl PauseDetector {
     pub(crate) fn new(now: Mono) -> PauseDetector {
-        PauseDetector { last: now, pause: (Mono(0), Mono(0)), clocks: BTreeMap::new() }
+        PauseDetector { last_step: now, pause: (Mono(0), Mono(0)), clocks: BTreeMap::new() }
     }
+    /// Records a step; a long gap since the previous one is a pause.
     pub(crate) fn step(&mut self, now: Mono) {
-        if now - self.last > PAUSE {
-            self.pause = (self.last, now);
+        if now - self.last_step > MIN_PAUSE {
+            self.pause = (self.last_step, now);
         }
-        self.last = now;
+        self.last_step = now;
     }
-    /// When what arrives now may have been said, at the earliest.
-    fn since(&self, now: Mono) -> Mono {
+    /// The earliest time at which a message arriving now may have been sent.
+    fn earliest_send_time(&self, now: Mono) -> Mono {
         let (from, to) = self.pause;
-        if to != Mono(0) && now - to < BACKLOG {
+        if to != Mono(0) && now - to < BACKLOG_WINDOW {
             from
         } else {
             now
@@ -65,116 +66,130 @@
 }
 
 impl Controller {
-    /// A beat from its origin. It counts from the moment before which it cannot have
-    /// been said: one that waited is as old as its wait.
-    /// A word of leaving is answered once it is in force: then no edge asks it any more.
+    /// Handles a heartbeat received directly from its origin. It is dated at the earliest time at
+    /// which it may have been sent, so time spent waiting counts towards its age. A leaving origin
+    /// is answered only once its drain is in force: from then on no edge sends it requests.
     pub(crate) fn on_direct_heartbeat(
         &mut self,
         now: Mono,
-        t: Token,
-        b: OriginHeartbeat,
+        token: Token,
+        heartbeat: OriginHeartbeat,
         mark: Option<Mono>,
         out: &mut Vec<Out>,
     ) {
-        let known = mark.filter(|m| *m <= now).unwrap_or(now);
-        let since = self.pause_detector.since(now);
-        let said = known.min(since);
-        self.hear(now, b.clone(), said);
-        if self.consensus.is_none() || now - since > STALE {
-            return out.push(Out::Tell(t, NodeReply::Unavailable("the beat waited too long")));
+        let read_at = mark.filter(|m| *m <= now).unwrap_or(now);
+        let earliest = self.pause_detector.earliest_send_time(now);
+        let sent = read_at.min(earliest);
+        self.record_heartbeat(now, heartbeat.clone(), sent);
+        if self.consensus.is_none() || now - earliest > MAX_HEARTBEAT_AGE {
+            return out
+                .push(Out::Tell(token, NodeReply::Unavailable("the heartbeat was delayed for too long")));
         }
-        match b.mood {
-            Mood::Leaving => self.drain_origin(now, t, b, out),
-            Mood::Gone => self.submit_unless_pending(now, t, Op::SignOff(b.addr, b.birth), out),
+        match heartbeat.mood {
+            Mood::Leaving => self.drain_origin(now, token, heartbeat, out),
+            Mood::Gone => {
+                self.submit_unless_pending(now, token, Op::SignOff(heartbeat.addr, heartbeat.birth), out)
+            }
             Mood::Warming | Mood::Serving => {
-                if now - said <= STALE {
-                    self.register(now, b, out);
+                if now - sent <= MAX_HEARTBEAT_AGE {
+                    self.register(now, heartbeat, out);
                 }
-                out.push(Out::Tell(t, NodeReply::Acknowledged));
+                out.push(Out::Tell(token, NodeReply::Acknowledged));
             }
         }
     }
 
-    /// Enters an origin that is not known yet.
-    fn register(&mut self, now: Mono, b: OriginHeartbeat, out: &mut Vec<Out>) {
-        let known = self.state.origin(&b.addr).is_some_and(|o| o.birth == b.birth);
-        if !known && self.is_latest_incarnation(b.addr, b.birth) {
-            self.derive(now, Op::Register(b.addr, Origin::of(b)), out);
+    /// Registers an origin that is not known yet.
+    fn register(&mut self, now: Mono, heartbeat: OriginHeartbeat, out: &mut Vec<Out>) {
+        let known = self.state.origin(&heartbeat.addr).is_some_and(|o| o.birth == heartbeat.birth);
+        if !known && self.is_latest_incarnation(heartbeat.addr, heartbeat.birth) {
+            self.derive(now, Op::Register(heartbeat.addr, Origin::of(heartbeat)), out);
         }
     }
 
-    /// Of two lives at an address the later heard is the one there now.
+    /// Whether this incarnation is the one last heard at the address.
     pub(crate) fn is_latest_incarnation(&self, addr: Addr, birth: Birth) -> bool {
         self.beats.get(&addr).is_some_and(|h| h.beat().birth == birth)
     }
 
-    /// Beats passed on by another controller, no older than `echo`, this one's own clock.
+    /// Handles heartbeats relayed by another controller. Their ages are counted from `echo`, this
+    /// controller's own clock as last seen by the sender.
     pub(crate) fn on_relayed_heartbeats(
         &mut self,
         now: Mono,
         from: Addr,
-        bs: Vec<(OriginHeartbeat, Span)>,
+        heartbeats: Vec<(OriginHeartbeat, Span)>,
         at: Mono,
         echo: Option<Mono>,
     ) {
         self.pause_detector.clocks.insert(from, at);
-        if let Some(then) = echo.filter(|e| *e <= now) {
-            self.contact.note(now, from, then);
-            bs.into_iter().for_each(|(b, age)| self.hear(now, b, then - age));
+        if let Some(echoed) = echo.filter(|e| *e <= now) {
+            self.contact.note(now, from, echoed);
+            heartbeats
+                .into_iter()
+                .for_each(|(heartbeat, age)| self.record_heartbeat(now, heartbeat, echoed - age));
         }
     }
 
-    fn hear(&mut self, now: Mono, beat: OriginHeartbeat, said: Mono) {
-        let was = self.beats.get(&beat.addr);
-        if beat.replaces(said, was.map(|h| &h.last)) {
-            // The same one by another way is no news to those who were told it.
-            let same = was.filter(|h| beat.seq > 0 && *h.beat() == beat);
-            let taken = same.map_or(now, |h| h.taken);
-            self.beats.insert(beat.addr, ReceivedHeartbeat { last: (beat, said), taken });
+    /// Keeps a heartbeat if it replaces the one known of this address.
+    fn record_heartbeat(&mut self, now: Mono, heartbeat: OriginHeartbeat, sent: Mono) {
+        let known = self.beats.get(&heartbeat.addr);
+        if heartbeat.replaces(sent, known.map(|h| &h.last)) {
+            // A copy received by another path need not be relayed again.
+            let repeated = known.filter(|h| heartbeat.seq > 0 && *h.beat() == heartbeat);
+            let received = repeated.map_or(now, |h| h.received);
+            self.beats.insert(heartbeat.addr, ReceivedHeartbeat { last: (heartbeat, sent), received });
         }
     }
 
+    /// All heartbeats that are not outdated, with their ages.
     pub(crate) fn current_heartbeats(&self, now: Mono) -> Vec<(OriginHeartbeat, Span)> {
         self.heartbeats_since(now, Mono(0)).collect()
     }
 
-    /// Those taken in from some moment on, and their ages.
+    /// Heartbeats received at or after `since`, with their ages.
     pub(crate) fn heartbeats_since(
         &self,
         now: Mono,
-        then: Mono,
+        since: Mono,
     ) -> impl Iterator<Item = (OriginHeartbeat, Span)> + '_ {
-        let fresh = self.beats.values().filter(move |h| now - h.said() < OLD && h.taken >= then);
-        fresh.map(move |h| (h.beat().clone(), now - h.said()))
+        let recent =
+            self.beats.values().filter(move |h| now - h.sent() < HEARTBEAT_RETENTION && h.received >= since);
+        recent.map(move |h| (h.beat().clone(), now - h.sent()))
     }
 
+    /// Discards outdated heartbeats and sends the other members those received since the last
+    /// relay.
     pub(crate) fn relay_heartbeats(&mut self, now: Mono, out: &mut Vec<Out>) {
-        self.beats.retain(|_, h| now - h.said() < OLD);
-        let bs: Vec<(OriginHeartbeat, Span)> = self.heartbeats_since(now, self.last_relay).collect();
+        self.beats.retain(|_, h| now - h.sent() < HEARTBEAT_RETENTION);
+        let heartbeats: Vec<(OriginHeartbeat, Span)> = self.heartbeats_since(now, self.last_relay).collect();
         self.last_relay = now;
         if self.consensus.is_some() {
-            let me = self.env.addr;
-            let others = self.base.members.iter().map(|m| m.addr).filter(|a| *a != me);
+            let own_addr = self.env.addr;
+            let others = self.base.members.iter().map(|m| m.addr).filter(|a| *a != own_addr);
             let echo = |a: &Addr| self.pause_detector.clocks.get(a).copied();
-            out.extend(others.map(|a| Out::SendNow(a, Msg::Heartbeats(bs.clone(), now, echo(&a)))));
+            out.extend(others.map(|a| Out::SendNow(a, Msg::Heartbeats(heartbeats.clone(), now, echo(&a)))));
         }
     }
 
-    /// Origins that have been silent too long are removed; the leader's work.
+    /// Proposes to remove origins that have been silent for too long; the leader's duty.
     pub(crate) fn remove_silent_origins(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let silent = |k: &Addr, o: &Origin| {
-            let t = self.beats.get(k).filter(|h| h.beat().birth == o.birth).map(ReceivedHeartbeat::said);
-            t.is_none_or(|t| now - t >= self.env.vanish)
+        let silent = |addr: &Addr, origin: &Origin| {
+            let last_sent =
+                self.beats.get(addr).filter(|h| h.beat().birth == origin.birth).map(ReceivedHeartbeat::sent);
+            last_sent.is_none_or(|sent| now - sent >= self.env.vanish)
         };
-        let gone: Vec<Op> = self
+        let removals: Vec<Op> = self
             .state
             .items
             .iter()
-            .filter_map(|(k, it)| match (k, &it.body) {
-                (Key::Origin(a), Some(Body::Origin(o))) if silent(a, o) => Some(Op::Remove(*a, o.birth)),
+            .filter_map(|(key, item)| match (key, &item.body) {
+                (Key::Origin(addr), Some(Body::Origin(origin))) if silent(addr, origin) => {
+                    Some(Op::Remove(*addr, origin.birth))
+                }
                 _ => None,
             })
             .collect();
-        gone.into_iter().for_each(|op| self.derive(now, op, out));
+        removals.into_iter().for_each(|op| self.derive(now, op, out));
     }
 }
--- a/crates/controller/src/leadership.rs
+++ b/crates/controller/src/leadership.rs
@@ -1,207 +1,227 @@
-//! Leadership: one member at a time removes silent origins, lends requests, changes the
-//! membership and ends eras, under an epoch that a quorum of members granted it.
+//! Leadership. At most one member at a time removes silent origins, grants borrowed tokens, changes
+//! the membership and ends eras. It does so under an epoch granted by a quorum of members.
 //!
-//! Invariants: a member's epoch never goes down; a grant stands for `GRANT` by the leader's
-//! clock from when it asked, and a little longer by the granter's, which grants no other
-//! meanwhile. A restarted member has forgotten its grants, so it gives none for that long.
+//! Invariants: a member's epoch never decreases. A grant is valid for `GRANT_DURATION`, counted by
+//! the leader's clock from the request and slightly longer by the granter's clock; the granter
+//! gives no other grant meanwhile. A restarted member has lost its record of grants, so it gives
+//! none for that long.
 use crate::controller::Controller;
 use caesar::{classic_quorum, MemberId};
 use control_state::*;
 use primitives::{Addr, Epoch, Mono, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a member's grant stands.
-pub(crate) const GRANT: Span = Span::ms(1500);
-/// An epoch that finds no quorum is given up after so long. Invariant: longer than any
-/// grant stands, or of a vote once split each half's grants would end as the next epoch is
-/// already refused by the other half, for ever.
-const RAISE_EPOCH: Span = Span::ms(3500);
-/// A member within reach that does not ask for the leadership for so long cannot hold it:
-/// it is out of contact with a majority.
-const STEP_IN: Span = Span::secs(3);
-/// How often a leader asks for grants.
-const ASK: Span = Span::ms(300);
-/// How often a leader looks for silent origins, and at the set of ledgers.
-const SWEEP: Span = Span::ms(500);
-const LOOK_AT_LEDGERS: Span = Span::ms(300);
-
-/// An epoch this member asks for, and what it was granted.
+/// Validity of a grant.
+pub(crate) const GRANT_DURATION: Span = Span::ms(1500);
+/// A candidacy that reaches no quorum is abandoned after this time. Invariant: longer than a grant
+/// is valid. Otherwise, after a split vote, the grants of each half would expire only when the
+/// other half already refuses the next epoch, and no candidate would ever be elected.
+const CANDIDACY_TIMEOUT: Span = Span::ms(3500);
+/// A reachable member that has not requested the leadership for this long cannot hold it: it has
+/// lost contact with a majority.
+const CANDIDATE_TIMEOUT: Span = Span::secs(3);
+/// Interval between leadership requests.
+const REQUEST_INTERVAL: Span = Span::ms(300);
+/// Intervals at which the leader checks for silent origins and reviews the ledger set.
+const ORIGIN_CHECK_INTERVAL: Span = Span::ms(500);
+const LEDGER_CHECK_INTERVAL: Span = Span::ms(300);
+
+/// An epoch requested by this member, and the grants received for it.
 #[derive(Debug)]
 struct Candidacy {
     epoch: Epoch,
-    since: Mono,
-    /// Until when each member's grant carries it.
+    started: Mono,
+    /// Per member, when its grant expires.
     grants: BTreeMap<MemberId, Mono>,
 }
 
-/// A grant this member gave.
+/// The last grant given by this member.
 #[derive(Debug)]
-struct Granted {
-    to: MemberId,
+struct GivenGrant {
+    candidate: MemberId,
     epoch: Epoch,
 }
 
-/// What one member knows of the leadership.
+/// Leadership state of one member.
 #[derive(Debug)]
 pub(crate) struct Leadership {
-    /// The highest epoch heard of; nobody below it is served.
-    highest: Epoch,
-    granted: Option<Granted>,
-    /// Nobody else is granted anything before.
-    bound_until: Mono,
+    /// The highest epoch seen; requests for a lower one are refused.
+    highest_epoch: Epoch,
+    given_grant: Option<GivenGrant>,
+    /// No other candidate is granted an epoch before this time.
+    exclusive_until: Mono,
     candidacy: Option<Candidacy>,
-    /// When each member last asked, and when this process began.
-    asked: BTreeMap<MemberId, Mono>,
-    began: Mono,
-    /// Grants that carry a leader: a quorum.
+    /// When each member last requested the leadership; `started` stands in for members that have
+    /// not.
+    last_requests: BTreeMap<MemberId, Mono>,
+    started: Mono,
+    /// Number of grants required to lead.
     quorum: usize,
 }
 
 impl Leadership {
     pub(crate) fn new(now: Mono) -> Leadership {
         Leadership {
-            highest: Epoch(0),
-            granted: None,
-            bound_until: now + GRANT.padded(),
+            highest_epoch: Epoch(0),
+            given_grant: None,
+            exclusive_until: now + GRANT_DURATION.padded(),
             candidacy: None,
-            asked: BTreeMap::new(),
-            began: now,
+            last_requests: BTreeMap::new(),
+            started: now,
             quorum: usize::MAX,
         }
     }
 
-    /// Until when a quorum's grants carry this member; the beginning of time if none do.
+    /// Time until which a quorum of grants is valid; zero if there is no quorum.
     pub(crate) fn granted_until(&self) -> Mono {
         let Some(candidacy) = &self.candidacy else { return Mono(0) };
-        let mut ends: Vec<Mono> = candidacy.grants.values().copied().collect();
-        ends.sort();
-        ends.into_iter().rev().nth(self.quorum.saturating_sub(1)).unwrap_or_default()
+        let mut expiries: Vec<Mono> = candidacy.grants.values().copied().collect();
+        expiries.sort();
+        expiries.into_iter().rev().nth(self.quorum.saturating_sub(1)).unwrap_or_default()
     }
 
+    /// Whether a quorum of grants is valid now.
     pub(crate) fn is_held(&self, now: Mono) -> bool {
         self.granted_until() > now
     }
 
-    /// Whether it is held, and for that long since its epoch began.
-    fn is_held_for(&self, now: Mono, least: Span) -> bool {
-        let since = self.candidacy.as_ref().map(|c| c.since);
-        self.is_held(now) && since.is_some_and(|since| now - since > least)
+    /// Whether the leadership is held and more than `duration` has passed since the epoch began.
+    fn has_been_held_for(&self, now: Mono, duration: Span) -> bool {
+        let since = self.candidacy.as_ref().map(|candidacy| candidacy.started);
+        self.is_held(now) && since.is_some_and(|since| now - since > duration)
     }
 
-    /// What edges are told: they pass it on, so that an epoch nobody carries would end
-    /// one that a quorum does.
+    /// The epoch reported to edges; zero unless the leadership is held. Edges pass it on, so an
+    /// epoch without a quorum would otherwise displace one that has it.
     pub(crate) fn held_epoch(&self, now: Mono) -> Epoch {
-        let held = self.candidacy.as_ref().filter(|_| self.is_held(now));
-        held.map_or(Epoch(0), |c| c.epoch)
+        let held_candidacy = self.candidacy.as_ref().filter(|_| self.is_held(now));
+        held_candidacy.map_or(Epoch(0), |candidacy| candidacy.epoch)
     }
 
-    /// The epoch this member asks for, whether or not it is carried.
+    /// The epoch this member requests, whether or not a quorum has granted it.
     pub(crate) fn candidate_epoch(&self) -> Option<Epoch> {
-        self.candidacy.as_ref().map(|c| c.epoch)
+        self.candidacy.as_ref().map(|candidacy| candidacy.epoch)
     }
 
-    /// An epoch was heard of.
+    /// Records an epoch seen in a message.
     pub(crate) fn note_epoch(&mut self, epoch: Epoch) {
-        self.highest = self.highest.max(epoch);
+        self.highest_epoch = self.highest_epoch.max(epoch);
     }
 
+    /// Abandons the current candidacy or leadership.
     fn resign(&mut self) {
         self.candidacy = None;
     }
 
-    fn last_asked(&self, member_id: MemberId) -> Mono {
-        self.asked.get(&member_id).copied().unwrap_or(self.began)
+    fn last_request(&self, member_id: MemberId) -> Mono {
+        self.last_requests.get(&member_id).copied().unwrap_or(self.started)
     }
 
-    /// The epoch to ask for now; true if it is a new one.
-    fn stand(&mut self, now: Mono, quorum: usize) -> (Epoch, bool) {
+    /// Returns the epoch to request now, and whether it is a new one.
+    fn start_or_continue_candidacy(&mut self, now: Mono, quorum: usize) -> (Epoch, bool) {
         self.quorum = quorum;
-        let stale = |c: &Candidacy| c.epoch < self.highest;
-        let failed = |c: &Candidacy| self.granted_until() <= now && c.since + RAISE_EPOCH < now;
-        if let Some(current) = self.candidacy.as_ref().filter(|c| !stale(c) && !failed(c)) {
+        let outdated = |candidacy: &Candidacy| candidacy.epoch < self.highest_epoch;
+        let failed = |candidacy: &Candidacy| {
+            self.granted_until() <= now && candidacy.started + CANDIDACY_TIMEOUT < now
+        };
+        if let Some(current) =
+            self.candidacy.as_ref().filter(|candidacy| !outdated(candidacy) && !failed(candidacy))
+        {
             return (current.epoch, false);
         }
-        self.highest = Epoch(self.highest.0 + 1);
-        let epoch = self.highest;
-        self.candidacy = Some(Candidacy { epoch, since: now, grants: BTreeMap::new() });
+        self.highest_epoch = Epoch(self.highest_epoch.0 + 1);
+        let epoch = self.highest_epoch;
+        self.candidacy = Some(Candidacy { epoch, started: now, grants: BTreeMap::new() });
         (epoch, true)
     }
 
-    /// Whether a candidate is granted its epoch. Two that do not hear one another would share
-    /// the grants for ever: of those who ask the earlier in the order gets them, and the other
-    /// raises no epoch here.
+    /// Decides whether a candidate is granted its epoch. Two candidates that cannot reach each
+    /// other could split the grants indefinitely. Of the members that requested recently, the one
+    /// with the lowest id therefore gets the grants, and the epoch of the other is ignored here.
     fn vote(&mut self, now: Mono, candidate: MemberId, epoch: Epoch) -> bool {
-        self.asked.insert(candidate, now);
-        let outranked = self.asked.iter().any(|(member_id, t)| *member_id < candidate && now - *t < GRANT);
+        self.last_requests.insert(candidate, now);
+        let outranked = self
+            .last_requests
+            .iter()
+            .any(|(member_id, requested)| *member_id < candidate && now - *requested < GRANT_DURATION);
         if outranked {
             return false;
         }
-        let again = self.granted.as_ref().is_some_and(|g| g.to == candidate && g.epoch == epoch);
-        let free = self.bound_until <= now && epoch >= self.highest;
+        let repeated = self
+            .given_grant
+            .as_ref()
+            .is_some_and(|grant| grant.candidate == candidate && grant.epoch == epoch);
+        let available = self.exclusive_until <= now && epoch >= self.highest_epoch;
         self.note_epoch(epoch);
-        if again || free {
-            self.granted = Some(Granted { to: candidate, epoch });
-            self.bound_until = now + GRANT.padded();
+        if repeated || available {
+            self.given_grant = Some(GivenGrant { candidate, epoch });
+            self.exclusive_until = now + GRANT_DURATION.padded();
         }
-        again || free
+        repeated || available
     }
 
-    /// A member's answer; a grant counts from when it was asked for.
+    /// Handles a vote. A grant is valid from the time of the request, not of the vote.
     fn on_vote(&mut self, voter: MemberId, epoch: Epoch, granted: Option<Mono>) {
         self.note_epoch(epoch);
-        let current = self.candidacy.as_mut().filter(|c| c.epoch == epoch);
-        if let (Some(candidacy), Some(asked)) = (current, granted) {
-            candidacy.grants.insert(voter, asked + GRANT);
+        let current = self.candidacy.as_mut().filter(|candidacy| candidacy.epoch == epoch);
+        if let (Some(candidacy), Some(requested)) = (current, granted) {
+            candidacy.grants.insert(voter, requested + GRANT_DURATION);
         }
     }
 }
 
 impl Controller {
-    /// Every member before this one in the order leaves, is out of reach, has a disk that
-    /// does not keep up, or has not asked for the leadership for so long that it must be
-    /// unable to. Where no disk keeps up, disks do not count.
-    pub(crate) fn first_live(&self, now: Mono) -> bool {
-        // Who has just got its seat cannot have reached anybody yet.
+    /// Whether every member with a lower id is leaving, unreachable, has a slow disk, or has not
+    /// requested the leadership for so long that it must be unable to. If all disks are slow, disk
+    /// health is ignored.
+    pub(crate) fn is_first_eligible(&self, now: Mono) -> bool {
+        // A newly added member has not had time to reach anybody.
         let settled = now - self.seated > self.env.pace.suspect_after;
-        let idle = |k: &MemberId| now - self.leadership.last_asked(*k) > STEP_IN;
-        let absent = |k: &MemberId| *k != self.member_id && settled && (!self.reaches(now, *k) || idle(k));
-        let available = |k: &MemberId| !self.watch.leaves(*k) && !absent(k);
+        let not_requesting =
+            |member: &MemberId| now - self.leadership.last_request(*member) > CANDIDATE_TIMEOUT;
+        let absent = |member: &MemberId| {
+            *member != self.member_id && settled && (!self.reaches(now, *member) || not_requesting(member))
+        };
+        let available = |member: &MemberId| !self.watch.leaves(*member) && !absent(member);
         let in_order: BTreeSet<MemberId> = self.state.members.iter().map(|m| m.member_id).collect();
-        let members: Vec<MemberId> = in_order.into_iter().filter(available).collect();
-        let keeps_up = members.iter().find(|k| self.disk.keeps_up(now, **k));
-        keeps_up.or(members.first()) == Some(&self.member_id)
+        let eligible: Vec<MemberId> = in_order.into_iter().filter(available).collect();
+        let with_fast_disk = eligible.iter().find(|member| self.disk.keeps_up(now, **member));
+        with_fast_disk.or(eligible.first()) == Some(&self.member_id)
     }
 
-    /// Asks for the leadership while it falls to this member, and does a leader's work.
+    /// Requests the leadership while this member is first in line, and performs the leader's
+    /// duties.
     pub(crate) fn lead(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let fit = self.caught_up() && self.connected(now) && self.first_live(now);
-        if !fit {
+        let eligible = self.caught_up() && self.connected(now) && self.is_first_eligible(now);
+        if !eligible {
             return self.leadership.resign();
         }
-        if self.due("leadership", ASK, now) {
-            self.ask_for_leadership(now, out);
+        if self.due("leadership", REQUEST_INTERVAL, now) {
+            self.request_leadership(now, out);
         }
-        let heard_all_origins = self.leadership.is_held_for(now, self.env.vanish);
-        if heard_all_origins && self.due("sweep", SWEEP, now) {
+        let held_long_enough = self.leadership.has_been_held_for(now, self.env.vanish);
+        if held_long_enough && self.due("sweep", ORIGIN_CHECK_INTERVAL, now) {
             self.remove_silent_origins(now, out);
         }
-        if self.leadership.is_held(now) && self.due("ledgers", LOOK_AT_LEDGERS, now) {
+        if self.leadership.is_held(now) && self.due("ledgers", LEDGER_CHECK_INTERVAL, now) {
             self.maintain_ledger_sets(now, out);
         }
     }
 
-    fn ask_for_leadership(&mut self, now: Mono, out: &mut Vec<Out>) {
+    fn request_leadership(&mut self, now: Mono, out: &mut Vec<Out>) {
         let quorum = classic_quorum(self.base.members.len());
-        let (epoch, raised) = self.leadership.stand(now, quorum);
-        if raised {
+        let (epoch, new_epoch) = self.leadership.start_or_continue_candidacy(now, quorum);
+        if new_epoch {
             self.lending.clear();
-            out.push(Out::Note("asking for the leadership under a new epoch"));
+            out.push(Out::Note("requesting the leadership under a new epoch"));
         }
         let candidate = self.member_id;
-        let ask = |m: &Member| Out::SendNow(m.addr, Msg::LeadershipRequest { candidate, epoch, asked: now });
-        out.extend(self.base.members.iter().map(ask));
+        let request =
+            |m: &Member| Out::SendNow(m.addr, Msg::LeadershipRequest { candidate, epoch, asked: now });
+        out.extend(self.base.members.iter().map(request));
     }
 
+    /// Answers a leadership request with a vote.
     pub(crate) fn on_ask_leadership(
         &mut self,
         now: Mono,
@@ -210,7 +230,7 @@
         out: &mut Vec<Out>,
     ) {
         let granted = self.leadership.vote(now, candidate, epoch).then_some(asked);
-        let (voter, epoch) = (self.member_id, self.leadership.highest);
+        let (voter, epoch) = (self.member_id, self.leadership.highest_epoch);
         out.push(Out::SendNow(from, Msg::LeadershipVote { voter, epoch, granted }));
     }
 
--- a/crates/controller/src/ledger_sets.rs
+++ b/crates/controller/src/ledger_sets.rs
@@ -1,4 +1,4 @@
-//! Changing the set of ledgers, one set at a time; the leader's work.
+//! Changes of the ledger set, one set at a time, by the leader.
 use crate::controller::Controller;
 use crate::pending::Pending;
 use crate::subscribers::Subscriber;
@@ -6,65 +6,77 @@
 use primitives::{Mono, NodeId, Span, Version};
 use std::collections::BTreeSet;
 
-/// What the holder knows of the change under way.
+/// Progress of the current change of the ledger set.
 #[derive(Debug, Default)]
 pub(crate) struct LedgerSetWatch {
-    /// Since when, at the latest, this version of the roll is in force.
-    force: Option<(Version, Mono)>,
-    /// The ledgers there should be, and since when it is these.
-    wanted: (Vec<Seat>, Mono),
-    /// Who holds what the older set granted, by this version of the roll.
-    filled: (Version, BTreeSet<NodeId>),
+    /// Version of the ledger sets, and the latest time at which it came into force.
+    in_force_since: Option<(Version, Mono)>,
+    /// The ledgers that should form the set, and since when this has not changed.
+    target: (Vec<Seat>, Mono),
+    /// Version of the ledger sets, and the ledgers that hold everything the older set granted
+    /// before it.
+    synced: (Version, BTreeSet<NodeId>),
 }
 
-/// Ledgers that come together change the set together.
-const GATHER: Span = Span::ms(900);
-/// A ledger unheard for so long gives its seat to a newcomer, where nobody counts them.
-const SILENT: Span = Span::secs(2);
-/// A ledger unheard for so long leaves the set also without a successor, where enough
-/// others are left.
-const GONE: Span = Span::secs(5);
+/// The target set must be unchanged for this long, so that ledgers arriving together change the set
+/// once.
+const SET_STABLE_FOR: Span = Span::ms(900);
+/// In an open deployment, a ledger unheard for this long may be replaced by a newcomer.
+const SILENT_AFTER: Span = Span::secs(2);
+/// A ledger unheard for this long leaves the set even without a replacement, if enough others
+/// remain.
+const GONE_AFTER: Span = Span::secs(5);
 
 impl LedgerSetWatch {
-    pub(crate) fn forced(&mut self, now: Mono, c: &Change, v: &Verdict) {
-        if let (Op::Seats { .. }, Verdict::Done(ks)) = (&c.op, v) {
-            self.force = ks.first().map(|(_, v)| (*v, now));
+    /// Notes when a new set came into force.
+    pub(crate) fn forced(&mut self, now: Mono, change: &Change, verdict: &Verdict) {
+        if let (Op::Seats { .. }, Verdict::Done(versions)) = (&change.op, verdict) {
+            self.in_force_since = versions.first().map(|(_, version)| (*version, now));
         }
     }
 
-    fn filled(&self, roll: Version, id: NodeId) -> bool {
-        self.filled.0 == roll && self.filled.1.contains(&id)
+    /// Whether the ledger holds everything the older set granted.
+    fn is_synced(&self, version: Version, id: NodeId) -> bool {
+        self.synced.0 == version && self.synced.1.contains(&id)
     }
 }
 
 impl Controller {
+    /// Proposes a new set when the target changes, and settles on the newer set once its ledgers
+    /// are synced or the key window has passed.
     pub(crate) fn maintain_ledger_sets(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let (expect, roll) = (self.state.item(&Key::Roll).ver, Roll::of(&self.state.items));
-        if self.name_wanted(now, expect, &roll, out) || roll.sets.len() < 2 {
+        let (expect, ledger_sets) = (self.state.item(&Key::Roll).ver, Roll::of(&self.state.items));
+        if self.propose_target_set(now, expect, &ledger_sets, out) || ledger_sets.sets.len() < 2 {
             return;
         }
-        let since = self.roll.force.filter(|(v, _)| *v == expect).map(|(_, t)| t);
-        let Some(since) = since else { return self.name_again(now, expect, &roll, out) };
+        let since = self.roll.in_force_since.filter(|(v, _)| *v == expect).map(|(_, t)| t);
+        let Some(since) = since else { return self.repropose_newer_set(now, expect, &ledger_sets, out) };
         let early = !self.state.rows();
-        let newer = &roll.sets[1];
-        let filled = newer.iter().all(|s| self.roll.filled(expect, s.id));
-        if early || filled || now - since >= self.env.window.padded() {
+        let newer = &ledger_sets.sets[1];
+        let synced = newer.iter().all(|s| self.roll.is_synced(expect, s.id));
+        if early || synced || now - since >= self.env.window.padded() {
             return self.derive(now, Op::Settle { expect, early }, out);
         }
-        let lacking = newer.iter().filter(|s| !self.roll.filled(expect, s.id));
-        out.extend(lacking.map(|s| Out::Send(s.addr, Msg::Fill { roll: expect })));
+        let unsynced = newer.iter().filter(|s| !self.roll.is_synced(expect, s.id));
+        out.extend(unsynced.map(|s| Out::Send(s.addr, Msg::Fill { roll: expect })));
     }
 
-    /// Names the ledgers there should be beside the set that decides, once they have
-    /// stayed the same for a moment; true if it did.
-    fn name_wanted(&mut self, now: Mono, expect: Version, roll: &Roll, out: &mut Vec<Out>) -> bool {
-        let next = roll.wanted(self.candidates(now, roll).into_iter());
-        if next != self.roll.wanted.0 {
-            self.roll.wanted = (next, now);
+    /// Proposes the target set as the next one beside the authoritative set, once it has been
+    /// stable for `SET_STABLE_FOR`. Returns whether it did.
+    fn propose_target_set(
+        &mut self,
+        now: Mono,
+        expect: Version,
+        ledger_sets: &Roll,
+        out: &mut Vec<Out>,
+    ) -> bool {
+        let next = ledger_sets.wanted(self.target_set(now, ledger_sets).into_iter());
+        if next != self.roll.target.0 {
+            self.roll.target = (next, now);
         }
-        let (next, since) = &self.roll.wanted;
-        let due = now - *since >= GATHER && !next.is_empty() && roll.sets.last() != Some(next);
-        if !due || self.seats_under_way() {
+        let (next, since) = &self.roll.target;
+        let due = now - *since >= SET_STABLE_FOR && !next.is_empty() && ledger_sets.sets.last() != Some(next);
+        if !due || self.set_proposal_pending() {
             return false;
         }
         let op = Op::Seats { expect, next: next.clone() };
@@ -72,71 +84,80 @@
         true
     }
 
-    /// Another holder named it: its time in force is counted anew.
-    fn name_again(&mut self, now: Mono, expect: Version, roll: &Roll, out: &mut Vec<Out>) {
-        if !self.seats_under_way() {
-            let next = roll.sets[1].clone();
+    /// Another leader proposed the newer set, so the time it came into force is unknown here.
+    /// Proposing it again starts a new count.
+    fn repropose_newer_set(&mut self, now: Mono, expect: Version, ledger_sets: &Roll, out: &mut Vec<Out>) {
+        if !self.set_proposal_pending() {
+            let next = ledger_sets.sets[1].clone();
             self.derive(now, Op::Seats { expect, next }, out);
         }
     }
 
-    fn seats_under_way(&self) -> bool {
-        let open = |p: &Pending| p.asked.iter().any(|a| matches!(a.change.op, Op::Seats { .. }));
-        self.pending.values().any(open)
+    /// Whether a proposal of a new set awaits its decision.
+    fn set_proposal_pending(&self) -> bool {
+        let proposes_set =
+            |pending: &Pending| pending.asked.iter().any(|asked| matches!(asked.change.op, Op::Seats { .. }));
+        self.pending.values().any(proposes_set)
     }
 
-    pub(crate) fn on_filled(&mut self, id: NodeId, roll: Version) {
-        if self.roll.filled.0 != roll {
-            self.roll.filled = (roll, BTreeSet::new());
+    /// Records that a ledger holds everything granted by the older set.
+    pub(crate) fn on_filled(&mut self, id: NodeId, version: Version) {
+        if self.roll.synced.0 != version {
+            self.roll.synced = (version, BTreeSet::new());
         }
-        self.roll.filled.1.insert(id);
+        self.roll.synced.1.insert(id);
     }
 
-    /// Who should be a ledger. Where operators name the nodes: all that are registered.
-    /// Where nobody counts them: newcomers that are heard, and of the set that decides
-    /// all but those that newcomers stand in for, that leave or that are gone.
-    fn candidates(&self, now: Mono, roll: &Roll) -> Vec<Seat> {
+    /// The ledgers that should form the set. Where operators list the nodes: all that are
+    /// registered. In an open deployment: newcomers recently heard, and the members of the
+    /// authoritative set except those that newcomers replace, that are leaving, or that are gone.
+    fn target_set(&self, now: Mono, ledger_sets: &Roll) -> Vec<Seat> {
         let all: Vec<Seat> = self.ledgers().collect();
         let Some(open) = self.env.open else { return all };
-        let decides = |s: &Seat| roll.authoritative_set().iter().any(|d| d.id == s.id);
-        let (mut seated, others): (Vec<Seat>, Vec<Seat>) = all.into_iter().partition(decides);
-        let mut next: Vec<Seat> = others.into_iter().filter(|s| self.stays(now, s.id)).collect();
-        let fewest = replicas(open.losses);
-        let replaceable = |s: &Seat| !self.stays(now, s.id);
-        drop_some(&mut seated, next.len(), replaceable);
-        let spare = (seated.len() + next.len()).saturating_sub(fewest);
-        drop_some(&mut seated, spare, |s| self.gone(now, s.id));
-        next.append(&mut seated);
+        let authoritative = |s: &Seat| ledger_sets.authoritative_set().iter().any(|d| d.id == s.id);
+        let (mut current, others): (Vec<Seat>, Vec<Seat>) = all.into_iter().partition(authoritative);
+        let mut next: Vec<Seat> = others.into_iter().filter(|s| self.is_available(now, s.id)).collect();
+        let min_size = replicas(open.losses);
+        let replaceable = |s: &Seat| !self.is_available(now, s.id);
+        remove_up_to(&mut current, next.len(), replaceable);
+        let surplus = (current.len() + next.len()).saturating_sub(min_size);
+        remove_up_to(&mut current, surplus, |s| self.is_gone(now, s.id));
+        next.append(&mut current);
         next
     }
 
-    /// Was heard a moment ago, and does not leave.
-    fn stays(&self, now: Mono, id: NodeId) -> bool {
-        let heard = |f: &Subscriber| f.asked != Mono(0) && now - f.asked < SILENT;
-        self.subscribers.get(&id).is_some_and(|f| heard(f) && !f.leaving)
+    /// Whether the ledger was heard recently and is not leaving.
+    fn is_available(&self, now: Mono, id: NodeId) -> bool {
+        let heard =
+            |subscriber: &Subscriber| subscriber.asked != Mono(0) && now - subscriber.asked < SILENT_AFTER;
+        self.subscribers.get(&id).is_some_and(|subscriber| heard(subscriber) && !subscriber.leaving)
     }
 
-    fn gone(&self, now: Mono, id: NodeId) -> bool {
-        self.subscribers.get(&id).is_some_and(|f| f.leaving || (f.asked != Mono(0) && now - f.asked >= GONE))
+    /// Whether the ledger is leaving, or was heard once and has been silent for `GONE_AFTER`.
+    fn is_gone(&self, now: Mono, id: NodeId) -> bool {
+        self.subscribers.get(&id).is_some_and(|subscriber| {
+            subscriber.leaving || (subscriber.asked != Mono(0) && now - subscriber.asked >= GONE_AFTER)
+        })
     }
 
+    /// All registered ledgers.
     fn ledgers(&self) -> impl Iterator<Item = Seat> + '_ {
-        let seat = |(k, it): (&Key, &Item)| match (k, &it.body) {
-            (Key::Node(id), Some(Body::Node(n))) if n.role == Role::Ledger => {
-                Some(Seat { id: *id, addr: n.addr, zone: n.zone.clone(), birth: n.birth })
+        let ledger = |(key, item): (&Key, &Item)| match (key, &item.body) {
+            (Key::Node(id), Some(Body::Node(node))) if node.role == Role::Ledger => {
+                Some(Seat { id: *id, addr: node.addr, zone: node.zone.clone(), birth: node.birth })
             }
             _ => None,
         };
-        self.state.items.iter().filter_map(seat)
+        self.state.items.iter().filter_map(ledger)
     }
 }
 
-/// Takes out those that answer to it, at most so many.
-fn drop_some(seats: &mut Vec<Seat>, most: usize, out: impl Fn(&Seat) -> bool) {
-    let mut left = most;
+/// Removes at most `limit` of the seats for which `remove` is true.
+fn remove_up_to(seats: &mut Vec<Seat>, limit: usize, remove: impl Fn(&Seat) -> bool) {
+    let mut remaining = limit;
     seats.retain(|s| {
-        let goes = left > 0 && out(s);
-        left -= goes as usize;
-        !goes
+        let removed = remaining > 0 && remove(s);
+        remaining -= removed as usize;
+        !removed
     });
 }
--- a/crates/controller/src/stored_records.rs
+++ b/crates/controller/src/stored_records.rs
@@ -1,4 +1,4 @@
-//! What a controller writes to its ring.
+//! Records that a controller writes to its log ring.
 use caesar::LogRecord;
 use control_state::{Cmd, ControlState, Era};
 use primitives::Birth;
@@ -7,26 +7,26 @@
 /// One record of a controller's log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Kept {
-    /// This disk's life; none of an agreement yet.
+    /// The incarnation of this disk, which is not a member of any era yet.
     Unjoined(Birth),
-    /// The state an era starts from. Invariant: together with the `Agreement` records
-    /// of the same era after it, all that this disk ever promised.
+    /// The state from which an era starts. Invariant: with the `Agreement` records of the same era
+    /// that follow, it holds everything this disk ever promised.
     Base(Birth, Box<ControlState>),
-    /// A promise or decision of the agreement, in that era.
+    /// A promise or decision of the agreement protocol in that era.
     Agreement(Era, LogRecord<Cmd>),
-    /// All of an era so far, in short.
+    /// All records of an era so far, compacted.
     Whole(Birth, Box<ControlState>, Vec<LogRecord<Cmd>>),
-    /// This disk began with the deployment itself.
+    /// This disk was initialised at the first start of the deployment.
     First,
 }
 
 impl Kept {
-    /// The bytes of the record.
+    /// Encodes the record.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("plain data always encodes")
     }
-    /// The record of these bytes, if they are one.
-    pub fn decode(b: &[u8]) -> Option<Kept> {
-        postcard::from_bytes(b).ok()
+    /// Decodes a record; `None` if the bytes are not a valid one.
+    pub fn decode(bytes: &[u8]) -> Option<Kept> {
+        postcard::from_bytes(bytes).ok()
     }
 }
