--- a/crates/controller/src/snapshot_transfer.rs
+++ b/crates/controller/src/snapshot_transfer.rs
@@ -146,7 +146,7 @@
         self.incoming = None;
     }
 
-    /// Starts a transfer, or adds a source to the one in progress, if newer than `era`, its own.
+    /// Starts or joins the transfer of a snapshot newer than `era`, which is the receiver's own era.
     pub fn on_offer(&mut self, now: Mono, from: Addr, id: SnapshotId, clock: u64, era: Era) -> Progress {
         if id.era <= era || id.size > MAX_SNAPSHOT_BYTES {
             return Progress::Nothing;
