--- a/crates/controller/src/founding.rs
+++ b/crates/controller/src/founding.rs
@@ -4,6 +4,11 @@
 use control_state::*;
 use primitives::{Addr, Mono, Span};
 
+/// How long an announcement of an unjoined controller is accepted for a replacement.
+const ANNOUNCEMENT_VALIDITY: Span = Span::secs(5);
+/// Minimum time between a proposed era end and a proposed replacement.
+const REPLACEMENT_INTERVAL: Span = Span::secs(2);
+
 impl Controller {
     /// Handles the announcement of an unjoined controller.
     pub(crate) fn on_unjoined(&mut self, now: Mono, newcomer: Member, out: &mut Vec<Out>) {
@@ -46,11 +51,11 @@
     }
 
     /// Proposes to replace a controller on an operator's request. Refused without a quorum, if
-    /// `old` is no member's address, or if no announcement from `new` was heard in the last 5 s.
+    /// `old` is no member's address, or if `new` has not announced itself recently.
     pub(crate) fn replace(&mut self, now: Mono, old: Addr, new: Addr, out: &mut Vec<Out>) -> NodeReply {
         let is_member = self.base.members.iter().any(|m| m.addr == old);
         let newcomer =
-            self.unjoined.get(&new).filter(|(_, t)| now - *t < Span::secs(5)).map(|(m, _)| m.clone());
+            self.unjoined.get(&new).filter(|(_, t)| now - *t < ANNOUNCEMENT_VALIDITY).map(|(m, _)| m.clone());
         match (is_member, newcomer) {
             _ if !self.connected(now) => NodeReply::Unavailable("no quorum of controllers in reach"),
             (false, _) => NodeReply::Unavailable("no member controller has the old address"),
@@ -64,9 +69,10 @@
         }
     }
 
-    /// Proposes an era in which `new` replaces the member at `old`, at most once per 2 s.
+    /// Proposes an era in which `new` replaces the member at `old`, unless an era end was proposed
+    /// less than `REPLACEMENT_INTERVAL` ago.
     fn propose_replacement(&mut self, now: Mono, old: Addr, new: Member, out: &mut Vec<Out>) {
-        if self.era_end_proposed_at.is_some_and(|t| now - t < Span::secs(2)) {
+        if self.era_end_proposed_at.is_some_and(|t| now - t < REPLACEMENT_INTERVAL) {
             return;
         }
         self.count("swaps");
--- a/crates/controller/src/heartbeats.rs
+++ b/crates/controller/src/heartbeats.rs
@@ -18,9 +18,12 @@
 }
 
 impl ReceivedHeartbeat {
+    /// The heartbeat itself.
     pub(crate) fn beat(&self) -> &OriginHeartbeat {
         &self.last.0
     }
+
+    /// The earliest time at which it may have been sent.
     pub(crate) fn sent(&self) -> Mono {
         self.last.1
     }
--- a/crates/controller/src/leadership.rs
+++ b/crates/controller/src/leadership.rs
@@ -113,6 +113,7 @@
         self.candidacy = None;
     }
 
+    /// When the member last requested the leadership, or the start of this process.
     fn last_request(&self, member_id: MemberId) -> Mono {
         self.last_requests.get(&member_id).copied().unwrap_or(self.started)
     }
@@ -208,6 +209,7 @@
         }
     }
 
+    /// Sends a leadership request to all members; a new epoch starts without lent tokens.
     fn request_leadership(&mut self, now: Mono, out: &mut Vec<Out>) {
         let quorum = classic_quorum(self.base.members.len());
         let (epoch, new_epoch) = self.leadership.start_or_continue_candidacy(now, quorum);
@@ -234,6 +236,7 @@
         out.push(Out::SendNow(from, Msg::LeadershipVote { voter, epoch, granted }));
     }
 
+    /// Handles a member's vote.
     pub(crate) fn on_leadership_vote(&mut self, voter: MemberId, epoch: Epoch, granted: Option<Mono>) {
         self.leadership.on_vote(voter, epoch, granted);
     }
--- a/crates/controller/src/lending.rs
+++ b/crates/controller/src/lending.rs
@@ -33,6 +33,7 @@
         }
     }
 
+    /// The service's share; none if the service has no ceiling.
     fn share(&mut self, items: &BTreeMap<Key, Item>, service: &Svc) -> Option<Share> {
         let share = self.shares.entry(service.clone()).or_insert_with(|| share(items, service));
         share.filter(|share| !share.free())
--- a/crates/controller/src/membership.rs
+++ b/crates/controller/src/membership.rs
@@ -194,6 +194,7 @@
         stored.map(|(_, since)| since).min().is_some_and(|first| now - first >= JOIN_BATCH_WINDOW)
     }
 
+    /// Proposes the planned change, if any. Additions wait until their batch is complete.
     fn propose_membership(&mut self, now: Mono, out: &mut Vec<Out>) {
         let Some(open) = self.env.open else { return };
         let Some(change) = self.membership_view(open.losses).plan() else { return };
--- a/crates/controller/src/open_deployment.rs
+++ b/crates/controller/src/open_deployment.rs
@@ -17,6 +17,15 @@
 /// time has passed and no more can be expected.
 const FORMATION_TIMEOUT: Span = Span::secs(6);
 
+/// A nominee that has not been heard may be replaced this long after its nomination.
+const NOMINEE_TIMEOUT: Span = Span::secs(5);
+/// An announcement of an unjoined controller is relayed for this long.
+const ANNOUNCEMENT_TIMEOUT: Span = Span::secs(1);
+/// Interval at which a relay-only controller relays announcements.
+const RELAY_INTERVAL: Span = Span::ms(200);
+/// Interval at which members tell the seeds the membership.
+const MEMBERSHIP_INTERVAL: Span = Span::ms(500);
+
 impl Controller {
     /// The seed with the lowest address.
     fn first_seed(&self) -> Option<Addr> {
@@ -61,12 +70,12 @@
             return;
         }
         if self.is_relay_only() {
-            if self.due("pass", Span::ms(200), now) {
+            if self.due("pass", RELAY_INTERVAL, now) {
                 self.relay_unjoined(now, out);
             }
             return;
         }
-        if self.due("roster", Span::ms(500), now) && self.consensus.is_some() {
+        if self.due("roster", MEMBERSHIP_INTERVAL, now) && self.consensus.is_some() {
             let membership = Msg::Membership(self.base.era, self.base.members.clone());
             let not_member = |a: &&Addr| !self.base.members.iter().any(|m| m.addr == **a);
             out.extend(self.env.seeds.iter().filter(not_member).map(|s| Out::Send(*s, membership.clone())));
@@ -76,7 +85,7 @@
 
     /// Relays announcements to the members; if there are none yet, nominates a founder.
     fn relay_unjoined(&mut self, now: Mono, out: &mut Vec<Out>) {
-        self.unjoined.retain(|_, (_, t)| now - *t < Span::secs(1));
+        self.unjoined.retain(|_, (_, t)| now - *t < ANNOUNCEMENT_TIMEOUT);
         let first = self.unjoined.values().map(|(m, _)| m.clone()).min_by_key(|m| m.addr);
         let members = self.latest_membership().1;
         if !members.is_empty() {
@@ -96,13 +105,13 @@
             Some(addr) if now - since >= NOMINATION_DELAY => out.push(Out::Send(addr, Msg::Found(birth))),
             // The nominee has disappeared, and was unjoined when last heard: another one may be
             // nominated.
-            None if now - since >= Span::secs(5) => self.named = None,
+            None if now - since >= NOMINEE_TIMEOUT => self.named = None,
             _ => (),
         }
     }
 
-    /// Whether an operator's edit may be accepted. While the deployment is still forming, the edit
-    /// could be lost with fewer disks than the configured number of losses.
+    /// Whether an operator's edit may be accepted. While the deployment is still forming, fewer
+    /// losses than it is to tolerate could destroy every copy of the edit.
     pub(crate) fn gathered(&self, now: Mono, change: &Change) -> bool {
         let Some(open) = self.env.open.filter(|_| matches!(change.op, Op::Edit(_))) else { return true };
         let required = min_members(open.losses);
--- a/crates/controller/src/retired_memberships.rs
+++ b/crates/controller/src/retired_memberships.rs
@@ -10,6 +10,11 @@
 use primitives::{Mono, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Intervals at which a controller repeats its reports, while some earlier membership is not retired
+/// and once all are.
+const REPORT_INTERVAL: Span = Span::ms(100);
+const RETIRED_REPORT_INTERVAL: Span = Span::secs(1);
+
 /// By the era that followed a membership: those of its members that are past it.
 pub(crate) type Landed = BTreeMap<Era, BTreeSet<MemberId>>;
 
@@ -26,7 +31,7 @@
         self.base.past.iter().all(|(era, members)| self.is_retired(*era, members))
     }
 
-    /// The latest era before which no edge uses an earlier membership any more.
+    /// The latest era such that no edge uses a membership of an earlier one any more.
     pub(crate) fn retired_up_to(&self) -> Era {
         let unretired = self.base.past.iter().find(|(era, members)| !self.is_retired(*era, members));
         unretired.map_or(self.base.era, |(era, _)| Era(era.0 - 1))
@@ -56,7 +61,8 @@
 
     /// Reports what this controller knows first-hand, while earlier memberships remain.
     pub(crate) fn land(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let interval = if self.earlier_memberships_retired() { Span::secs(1) } else { Span::ms(100) };
+        let interval =
+            if self.earlier_memberships_retired() { RETIRED_REPORT_INTERVAL } else { REPORT_INTERVAL };
         if self.base.past.is_empty() || !self.due("land", interval, now) {
             return;
         }
