--- a/crates/controller/src/leadership.rs
+++ b/crates/controller/src/leadership.rs
@@ -38,7 +38,7 @@
 /// The last grant given by this member.
 #[derive(Debug)]
 struct GivenGrant {
-    candidate: MemberId,
+    holder: MemberId,
     epoch: Epoch,
 }
 
@@ -148,14 +148,12 @@
         if outranked {
             return false;
         }
-        let repeated = self
-            .given_grant
-            .as_ref()
-            .is_some_and(|grant| grant.candidate == candidate && grant.epoch == epoch);
+        let repeated =
+            self.given_grant.as_ref().is_some_and(|grant| grant.holder == candidate && grant.epoch == epoch);
         let available = self.exclusive_until <= now && epoch >= self.highest_epoch;
         self.note_epoch(epoch);
         if repeated || available {
-            self.given_grant = Some(GivenGrant { candidate, epoch });
+            self.given_grant = Some(GivenGrant { holder: candidate, epoch });
             self.exclusive_until = now + GRANT_DURATION.padded();
         }
         repeated || available
