--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -10,13 +10,13 @@
 use std::sync::Arc;
 
 /// Counts answers to a question of another life, or of another node.
-const OTHER_LIFE: &str = "answers to another life";
+const OTHER_INCARNATION: &str = "answers to another life";
 /// Counts answers that nobody waits for: repeated, too late, or from one not asked.
-pub(crate) const UNASKED: &str = "answers nobody waits for";
+pub(crate) const UNEXPECTED_ANSWER: &str = "answers nobody waits for";
 
 /// An answer of one who knew other purges is used for so long after the question: a purge that it
 /// lacked was not acknowledged by then, or not long ago.
-const UNSURE: Span = Span::secs(1);
+const PURGE_MISMATCH_TTL: Span = Span::secs(1);
 
 impl Edge {
     /// The name under which a question of this life goes out.
@@ -27,7 +27,7 @@
     /// The number of the question, if this very life asked it.
     pub(crate) fn own_number(&mut self, ask: RequestId) -> Option<u64> {
         if ask.birth != self.follow.env.birth {
-            self.count(OTHER_LIFE);
+            self.count(OTHER_INCARNATION);
             return None;
         }
         Some(ask.n)
@@ -36,14 +36,14 @@
     /// The job of a round, if this very life of this node began it.
     pub(crate) fn own_round(&mut self, round: RoundId) -> Option<u64> {
         if round.node != self.follow.env.id {
-            self.count(OTHER_LIFE);
+            self.count(OTHER_INCARNATION);
             return None;
         }
         self.own_number(RequestId { birth: round.birth, n: round.n })
     }
 
     /// A ledger takes the copy: with what is left of its life at this moment.
-    pub(crate) fn on_stock_want(
+    pub(crate) fn on_disk_cache_want(
         &mut self,
         now: Mono,
         from: Addr,
@@ -52,7 +52,7 @@
         out: &mut Vec<Out>,
     ) {
         let Some(n) = self.own_number(ask) else { return };
-        let Some(object) = self.offers.remove(&n) else { return self.count(UNASKED) };
+        let Some(object) = self.offers.remove(&n) else { return self.count(UNEXPECTED_ANSWER) };
         let copy = self.copies.get(now, &object).filter(|_| self.leased(now));
         if let Some(c) = copy {
             let mark = mark(&self.follow.items, &object);
@@ -64,14 +64,14 @@
         }
     }
 
-    pub(crate) fn on_copy_wait(&mut self, now: Mono, from: Addr, ask: RequestId) {
+    pub(crate) fn on_copy_pending(&mut self, now: Mono, from: Addr, ask: RequestId) {
         let Some(id) = self.own_number(ask) else { return };
-        let Some((copy_request, _)) = self.answered(id, from) else { return self.count(UNASKED) };
+        let Some((copy_request, _)) = self.answered(id, from) else { return self.count(UNEXPECTED_ANSWER) };
         self.note_answer_time(now, &copy_request);
-        self.mute.remove(&from);
-        let Some(j) = self.jobs.get_mut(&id) else { return };
-        let open = j.overdue.iter_mut().find(|i| i.to == from);
-        let current = if let Stage::Home(copy_request) = &mut j.stage { Some(copy_request) } else { None };
+        self.unresponsive.remove(&from);
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let open = job.overdue.iter_mut().find(|i| i.to == from);
+        let current = if let Stage::Home(copy_request) = &mut job.stage { Some(copy_request) } else { None };
         let same = current.filter(|i| i.to == from).or(open);
         same.into_iter().for_each(|i| i.last_progress_at = Some(now));
     }
@@ -79,17 +79,17 @@
     /// The question of a job that this answers, if it still waits for it: the last one, or an
     /// earlier one that was overdue.
     fn answered(&self, id: u64, from: Addr) -> Option<(CopyRequest, bool)> {
-        let j = self.jobs.get(&id)?;
-        let current = match j.stage {
+        let job = self.jobs.get(&id)?;
+        let current = match job.stage {
             Stage::Home(copy_request) if copy_request.to == from => Some((copy_request, true)),
             _ => None,
         };
-        let waits = matches!(j.stage, Stage::Home(_) | Stage::Line);
-        let overdue = j.overdue.iter().find(|i| i.to == from).filter(|_| waits);
+        let waits = matches!(job.stage, Stage::Home(_) | Stage::Queued);
+        let overdue = job.overdue.iter().find(|i| i.to == from).filter(|_| waits);
         current.or(overdue.map(|i| (*i, false)))
     }
 
-    pub(crate) fn on_copy_got(
+    pub(crate) fn on_copy_result(
         &mut self,
         now: Mono,
         (from, ask): (Addr, RequestId),
@@ -98,13 +98,15 @@
         out: &mut Vec<Out>,
     ) {
         let Some(id) = self.own_number(ask) else { return };
-        let Some((copy_request, current)) = self.answered(id, from) else { return self.count(UNASKED) };
+        let Some((copy_request, current)) = self.answered(id, from) else {
+            return self.count(UNEXPECTED_ANSWER);
+        };
         self.note_answer_time(now, &copy_request);
         // It is slow, not gone.
-        self.mute.remove(&from);
-        let Some(j) = self.jobs.get(&id) else { return };
-        let (good, object, lane) = (!j.spoiled && self.leased(now), j.object(), j.req.lane.clone());
-        let lives_long = j.row.ttl >= MIN_DISK_CACHE_TTL;
+        self.unresponsive.remove(&from);
+        let Some(job) = self.jobs.get(&id) else { return };
+        let (good, object, lane) = (!job.invalidated && self.leased(now), job.object(), job.req.lane.clone());
+        let lives_long = job.row.ttl >= MIN_DISK_CACHE_TTL;
         let stocked = copy_request.source == Source::Ledger;
         // A ledger has looked at its copy's mark itself.
         let same_purges = stocked || purges == self.purges();
@@ -122,7 +124,9 @@
                     self.ask_source(now, id, copy_request.source, out);
                 }
             }
-            CopyReply::Got(c) if lives(c.left) && (same_purges || now - copy_request.asked < UNSURE) => {
+            CopyReply::Got(c)
+                if lives(c.left) && (same_purges || now - copy_request.asked < PURGE_MISMATCH_TTL) =>
+            {
                 let (since, until) = (
                     copy_request.asked - c.current_age,
                     (copy_request.asked + c.left).min(self.leased_until()),
@@ -131,8 +135,8 @@
                 // Whoever knew other purges may have shown what one of them took.
                 let sure = same_purges && c.whole.status == 200;
                 self.body_sizes.note(&lane, c.whole.size());
-                let guest = !self.is_home_after(copy_request.source);
-                let copy = Copy { whole: Arc::new(c.whole), public: c.public, since, until, guest };
+                let non_home = !self.is_beyond_home_tier(copy_request.source);
+                let copy = Copy { whole: Arc::new(c.whole), public: c.public, since, until, non_home };
                 if sure {
                     self.keep(now, object, copy.clone());
                 }
@@ -166,7 +170,7 @@
                 self.finish(now, id, s, out);
             }
             CopyReply::TemporarilyUnavailable if current => self.ask_another(now, id, copy_request, out),
-            CopyReply::AtCeiling if current => self.denied_by_home(now, id, copy_request, out),
+            CopyReply::AtCeiling if current => self.on_home_at_ceiling(now, id, copy_request, out),
             _ if current => self.ask_next(now, id, out),
             _ => (),
         }
@@ -174,15 +178,15 @@
 
     /// That is the word for those who waited when the home was asked; it is asked again for those
     /// who came since, and have more time.
-    fn denied_by_home(&mut self, now: Mono, id: u64, copy_request: CopyRequest, out: &mut Vec<Out>) {
-        self.deny_some(now, id, |_, c| c.since <= copy_request.asked, out);
+    fn on_home_at_ceiling(&mut self, now: Mono, id: u64, copy_request: CopyRequest, out: &mut Vec<Out>) {
+        self.deny_callers(now, id, |_, c| c.since <= copy_request.asked, out);
         if self.jobs.contains_key(&id) {
             self.ask_source(now, id, copy_request.source, out);
         }
     }
 
     /// Whether only homes of some reach ask that source; who is none keeps a guest.
-    fn is_home_after(&self, source: Source) -> bool {
+    fn is_beyond_home_tier(&self, source: Source) -> bool {
         source > Source::Home(if self.env.policy.near { Reach::Zone } else { Reach::Deployment })
     }
 
--- a/crates/edge/src/body_size.rs
+++ b/crates/edge/src/body_size.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 /// Weight of a new body in the mean.
-const GAIN: f64 = 0.05;
+const SMOOTHING_FACTOR: f64 = 0.05;
 
 /// Smoothed means, by lane.
 #[derive(Clone, Debug, Default)]
@@ -16,7 +16,7 @@
     pub(crate) fn note(&mut self, lane: &Lane, bytes: usize) {
         let bytes = bytes as f64;
         let mean = self.means.entry(lane.clone()).or_insert(bytes);
-        *mean += GAIN * (bytes - *mean);
+        *mean += SMOOTHING_FACTOR * (bytes - *mean);
     }
 
     /// Whether bodies of that lane are larger; of a lane without any nobody knows.
--- a/crates/edge/src/cacheability.rs
+++ b/crates/edge/src/cacheability.rs
@@ -10,7 +10,7 @@
 
 /// What an origin's answer says of itself.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Sharing {
+pub(crate) struct Cacheability {
     /// For its own caller only; nobody else may get these bytes.
     pub personal: bool,
     /// For everybody, credentials or not.
@@ -38,13 +38,13 @@
 }
 
 /// Fills send no `Accept-Encoding`, so an answer may vary by that one alone.
-fn varies(m: &HeaderMap) -> bool {
+fn varies_beyond_encoding(m: &HeaderMap) -> bool {
     let all = m.get_all("vary").iter().flat_map(|v| v.as_bytes().split(|b| *b == b','));
     let mut names = all.map(|n| String::from_utf8_lossy(n).trim().to_ascii_lowercase());
     names.any(|n| !n.is_empty() && n != "accept-encoding")
 }
 
-pub(crate) fn sharing(req: &CallerRequest, w: &Whole, row: Span) -> Sharing {
+pub(crate) fn cacheability(req: &CallerRequest, w: &Whole, row: Span) -> Cacheability {
     let heads = map(&w.heads);
     let said = directives(&heads);
     let says = |d: &str| said.iter().any(|s| s == d || s.starts_with(&format!("{d}=")));
@@ -71,15 +71,15 @@
         || says("no-store")
         || says("no-cache")
         || heads.contains_key("set-cookie")
-        || varies(&heads)
+        || varies_beyond_encoding(&heads)
         || !(policy.is_storable() || w.status >= 300);
     let life = if personal || w.status != 200 { Span(0) } else { theirs.min(row) };
     let age = w.heads.get("age").and_then(|a| a.trim().parse().ok()).unwrap_or(0);
-    Sharing { personal, public, life, current_age: Span::secs(age) }
+    Cacheability { personal, public, life, current_age: Span::secs(age) }
 }
 
 /// How long an object counts as not for sharing.
-const ALONE: Span = Span::secs(10);
+const UNSHARED_TTL: Span = Span::secs(10);
 
 impl Edge {
     /// The answer is not for sharing: the first caller has it, if it was fetched
@@ -91,22 +91,22 @@
         own: Option<Step>,
         out: &mut Vec<Out>,
     ) {
-        let Some(j) = self.jobs.get_mut(&id) else { return };
-        let (mut rest, obj) = (std::mem::take(&mut j.callers), j.object());
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let (mut rest, obj) = (std::mem::take(&mut job.callers), job.object());
         let first = rest.iter().take(1).any(|c| matches!(c.caller, Caller::Local(..))) && own.is_some();
         if first {
-            j.callers.push(rest.remove(0));
+            job.callers.push(rest.remove(0));
         }
         self.count("not for sharing");
-        self.unshared.insert(obj, now + ALONE);
+        self.unshared.insert(obj, now + UNSHARED_TTL);
         let last = own.unwrap_or(Step::OutcomeUnknown(Span::secs(1)));
         self.finish(now, id, last, out);
         for c in rest {
             match c.caller {
                 Caller::Edge(a, ask) => {
-                    out.push(self.copy_got(a, ask, CopyReply::Uncacheable));
+                    out.push(self.copy_result(a, ask, CopyReply::Uncacheable));
                 }
-                Caller::Local(t, req) => self.enter(now, t, req, out),
+                Caller::Local(t, req) => self.dispatch(now, t, req, out),
             }
         }
     }
@@ -117,7 +117,7 @@
     use super::*;
     use std::sync::Arc;
 
-    fn judge(asked: &[(&str, &str)], said: &[(&str, &str)], status: u16) -> Sharing {
+    fn judge(asked: &[(&str, &str)], said: &[(&str, &str)], status: u16) -> Cacheability {
         let heads = |l: &[(&str, &str)]| l.iter().fold(Headers::default(), |h, (n, v)| h.with(n, *v));
         let (method, body) = ("GET".into(), Arc::new(vec![]));
         let req = CallerRequest {
@@ -130,7 +130,7 @@
             ..CallerRequest::default()
         };
         let w = Whole { status, heads: heads(said), ..Whole::default() };
-        sharing(&req, &w, Span::secs(60))
+        cacheability(&req, &w, Span::secs(60))
     }
 
     #[test]
--- a/crates/edge/src/copies.rs
+++ b/crates/edge/src/copies.rs
@@ -5,7 +5,7 @@
 
 /// How long a copy that may not be served any more is kept to ask whether it still
 /// is what the origin has.
-const COMPARED: Span = Span::secs(60);
+const REVALIDATION_RETENTION: Span = Span::secs(60);
 
 #[derive(Clone, Debug)]
 pub(crate) struct Copy {
@@ -17,7 +17,7 @@
     /// Invariant: not served after this; set when the fill began.
     pub until: Mono,
     /// Others are its homes: it makes room for what this edge is a home of.
-    pub guest: bool,
+    pub non_home: bool,
 }
 
 impl BoundedCacheEntry for Copy {
@@ -27,7 +27,7 @@
     fn kept(&self) -> Mono {
         let tagged = self.whole.heads.has("etag");
         if tagged {
-            self.until + COMPARED
+            self.until + REVALIDATION_RETENTION
         } else {
             self.until
         }
@@ -36,7 +36,7 @@
         self.whole.size()
     }
     fn stays(&self) -> bool {
-        !self.guest
+        !self.non_home
     }
 }
 
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -5,11 +5,11 @@
 use crate::jobs::Job;
 use crate::local_controller::LocalControllerState;
 use crate::metrics::EdgeMetrics;
-use crate::origins::Seen;
+use crate::origins::OriginHealth;
 use crate::outcome_deliveries::OutcomeDelivery;
 pub use crate::policy::EdgePolicy;
 use crate::purged_tags::PurgedTags;
-use crate::read::Wish;
+use crate::read::CopyRequestOptions;
 use crate::table::Table;
 use control_state::*;
 use primitives::{Addr, Mono, ResponseTimeEstimator, Span};
@@ -49,8 +49,8 @@
     /// The lease ran out at some time since the copies were last dropped.
     pub(crate) lapsed: bool,
     pub(crate) had_lease_quorum: bool,
-    pub(crate) seen: Seen,
-    pub(crate) press: Admission,
+    pub(crate) origin_health: OriginHealth,
+    pub(crate) admission: Admission,
     pub(crate) copies: Copies,
     pub(crate) jobs: BTreeMap<u64, Job>,
     /// The job that fills each object now.
@@ -69,7 +69,7 @@
     /// How long homes take to answer, by their reach.
     pub(crate) answer_times: BTreeMap<Reach, ResponseTimeEstimator>,
     /// Edges that lately did not answer.
-    pub(crate) mute: BTreeMap<Addr, Mono>,
+    pub(crate) unresponsive: BTreeMap<Addr, Mono>,
     pub(crate) forwarded_calls: ForwardedCalls,
     pub(crate) local_controller: LocalControllerState,
     /// When the copies were last looked through.
@@ -88,8 +88,8 @@
             follow: Follower::new(env.follow.clone()),
             lapsed: true,
             had_lease_quorum: false,
-            seen: Seen::default(),
-            press: Admission::default(),
+            origin_health: OriginHealth::default(),
+            admission: Admission::default(),
             copies: Copies::new(env.copies),
             jobs: BTreeMap::new(),
             fills: BTreeMap::new(),
@@ -101,7 +101,7 @@
             body_sizes: BodySizes::default(),
             purged_tags: PurgedTags::default(),
             answer_times: BTreeMap::new(),
-            mute: BTreeMap::new(),
+            unresponsive: BTreeMap::new(),
             forwarded_calls: ForwardedCalls::default(),
             local_controller: LocalControllerState::default(),
             swept: Mono(0),
@@ -233,16 +233,16 @@
                 Msg::CallAnswered(n, said) => self.on_call_answered(now, from, n, *said, out),
                 Msg::Update(n) => self.on_update(now, from, *n, out),
                 Msg::CopyQuery { ask, object, heads, reach, held, patience } => {
-                    let wish = Wish { heads, reach, held, patience };
-                    self.on_copy_ask(now, (from, ask), object, wish, out)
+                    let options = CopyRequestOptions { heads, reach, held, patience };
+                    self.on_copy_query(now, (from, ask), object, options, out)
                 }
-                Msg::CopyPending(ask) => self.on_copy_wait(now, from, ask),
+                Msg::CopyPending(ask) => self.on_copy_pending(now, from, ask),
                 Msg::CopyResult { ask, said, purges } => {
-                    self.on_copy_got(now, (from, ask), said, purges, out)
+                    self.on_copy_result(now, (from, ask), said, purges, out)
                 }
-                Msg::DiskCacheWant { ask, at } => self.on_stock_want(now, from, ask, at, out),
+                Msg::DiskCacheWant { ask, at } => self.on_disk_cache_want(now, from, ask, at, out),
                 Msg::Claimed { round, said, .. } => self.on_claimed(now, from, round, said, out),
-                Msg::Kept { round, .. } => self.on_kept(now, from, round),
+                Msg::Kept { round, .. } => self.on_outcome_stored(now, from, round),
                 _ => self.count("stray"),
             },
         }
--- a/crates/edge/src/fill_progress.rs
+++ b/crates/edge/src/fill_progress.rs
@@ -6,13 +6,13 @@
 use primitives::{Mono, Span};
 
 /// Who has waited for so long is told again.
-const SAY_AGAIN: Span = Span::ms(400);
+const PROGRESS_INTERVAL: Span = Span::ms(400);
 
 impl Edge {
     /// Tells edges that wait for a fill that it is being worked on.
     pub(crate) fn send_fill_progress(&self, now: Mono, out: &mut Vec<Out>) {
-        let long = |w: &&Waiting| now - w.since >= SAY_AGAIN;
-        let waiting = self.jobs.values().flat_map(|j| &j.callers).filter(long);
+        let long = |w: &&Waiting| now - w.since >= PROGRESS_INTERVAL;
+        let waiting = self.jobs.values().flat_map(|job| &job.callers).filter(long);
         out.extend(waiting.filter_map(|w| match w.caller {
             Caller::Edge(asker, ask) => Some(Out::Send(asker, Msg::CopyPending(ask))),
             Caller::Local(..) => None,
--- a/crates/edge/src/homes.rs
+++ b/crates/edge/src/homes.rs
@@ -18,13 +18,13 @@
             |item: &Item| matches!(&item.body, Some(Body::Node(n)) if n.standing == Standing::Serving);
         let all = items.iter().filter(|(_, item)| serving(item));
         let edges: Vec<EdgeNode> = all.filter_map(|(key, item)| EdgeNode::of(key, item)).collect();
-        let mut found = Homes { edges: edges.len(), deployment: strongest(&edges), ..Homes::default() };
+        let mut found = Homes { edges: edges.len(), deployment: select_homes(&edges), ..Homes::default() };
         for edge in edges {
             found.by_region.entry(edge.zone.region().to_string()).or_default().push(edge.clone());
             found.by_zone.entry(edge.zone.clone()).or_default().push(edge);
         }
-        found.by_zone.values_mut().for_each(|edges| *edges = strongest(edges));
-        found.by_region.values_mut().for_each(|edges| *edges = strongest(edges));
+        found.by_zone.values_mut().for_each(|edges| *edges = select_homes(edges));
+        found.by_region.values_mut().for_each(|edges| *edges = select_homes(edges));
         found
     }
 
@@ -48,6 +48,6 @@
     }
 }
 
-fn strongest(edges: &[EdgeNode]) -> Vec<EdgeNode> {
+fn select_homes(edges: &[EdgeNode]) -> Vec<EdgeNode> {
     homes(edges).cloned().collect()
 }
--- a/crates/edge/src/job.rs
+++ b/crates/edge/src/job.rs
@@ -30,7 +30,7 @@
     /// Waits for the ledgers' words.
     Claim(BTreeMap<Addr, Claimed>),
     /// Waits in line for leave to press the service.
-    Line,
+    Queued,
     /// A round is out; its number, where, until when it might have left.
     Out(Box<Round>, Mono),
 }
@@ -48,16 +48,16 @@
     pub stage: Stage,
     pub stage_since: Mono,
     /// Rounds of which bytes may have reached an origin.
-    pub tries: u32,
+    pub sent_attempts: u32,
     /// Rounds that found no way out.
-    pub unsent: u32,
-    pub tried: Vec<(Addr, Birth)>,
+    pub unsent_attempts: u32,
+    pub tried_origins: Vec<(Addr, Birth)>,
     /// A purge (or a lapse) came in between: what was fetched before is not used.
-    pub spoiled: bool,
+    pub invalidated: bool,
     /// Readable, but for its one caller alone: no copy is used or joined.
     pub unshared: bool,
     /// The whole is asked for, whatever copy there was.
-    pub plain: bool,
+    pub unconditional: bool,
     /// It is filled for others, as the home of that reach.
     pub home_reach: Option<Reach>,
     /// Whoever was asked for a copy and has kept silent so far.
--- a/crates/edge/src/keyed.rs
+++ b/crates/edge/src/keyed.rs
@@ -1,6 +1,6 @@
 //! Keyed requests: a quorum of the key's ledgers must grant it, synced, before
 //! anything leaves.
-use crate::answers::UNASKED;
+use crate::answers::UNEXPECTED_ANSWER;
 use crate::claim::Claim;
 use crate::edge::Edge;
 use crate::jobs::*;
@@ -10,42 +10,42 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long after a lease keys are claimed, where an edge serves on without one.
-const CLAIMS_ON: Span = Span::secs(5);
+const CLAIM_GRACE: Span = Span::secs(5);
 /// The first and the longest pause after which silent ledgers are asked again.
-const ASK_AGAIN: (Span, Span) = (Span::ms(120), Span::ms(480));
+const CLAIM_RETRY_DELAYS: (Span, Span) = (Span::ms(120), Span::ms(480));
 impl Edge {
     /// Only under a lease that holds or lapsed a moment ago: a set of ledgers loses its
     /// force a window after every lease that knew no newer one, and claims of before
     /// must have lost theirs by then.
-    pub(crate) fn claim(&mut self, now: Mono, mut j: Job, out: &mut Vec<Out>) {
-        if self.follow.lease_quorum_until() + CLAIMS_ON <= now {
-            let c = j.callers.remove(0).caller;
+    pub(crate) fn claim(&mut self, now: Mono, mut job: Job, out: &mut Vec<Out>) {
+        if self.follow.lease_quorum_until() + CLAIM_GRACE <= now {
+            let c = job.callers.remove(0).caller;
             let back = self.retry_after(Denied::NoLease);
-            return self.tell(now, &c, Step::Deny(Denied::NoLease, back), out);
+            return self.answer_caller(now, &c, Step::Deny(Denied::NoLease, back), out);
         }
         // Lanes of a host come, go and are renamed while their callers' keys stay the same.
-        let key = format!("{}/{}", j.site.0, j.req.key.as_deref().unwrap_or(""));
-        let print = Fingerprint::of(&j.req.method, &j.req.path, &j.req.heads, &j.req.body);
+        let key = format!("{}/{}", job.site.0, job.req.key.as_deref().unwrap_or(""));
+        let print = Fingerprint::of(&job.req.method, &job.req.path, &job.req.heads, &job.req.body);
         let n = self.number();
         let round = RoundId { node: self.follow.env.id, birth: self.follow.env.birth, n };
         let named = self.table.roll.named(&key, self.env.losses);
         let roll = self.table.roll_version;
-        let ask_again = Backoff::new(now, ASK_AGAIN.0, ASK_AGAIN.1);
+        let ask_again = Backoff::new(now, CLAIM_RETRY_DELAYS.0, CLAIM_RETRY_DELAYS.1);
         let c = Claim { round, key, print, named, roll, granted: BTreeSet::new(), ask_again };
         out.extend(c.ledgers().into_iter().map(|a| c.ask(a)));
-        j.claim = Some(c);
-        j.send_deadline = now + self.env.leave;
-        j.stage = Stage::Claim(BTreeMap::new());
-        j.stage_since = now;
-        self.jobs.insert(n, j);
+        job.claim = Some(c);
+        job.send_deadline = now + self.env.leave;
+        job.stage = Stage::Claim(BTreeMap::new());
+        job.stage_since = now;
+        self.jobs.insert(n, job);
         self.count("claims");
         self.count_votes(now, n, false, out);
     }
 
     /// A claim or its answer may be lost with a link; asking again changes nothing.
-    pub(crate) fn claim_again(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
-        let Some(j) = self.jobs.get_mut(&id) else { return };
-        let (Stage::Claim(votes), Some(c)) = (&j.stage, &mut j.claim) else { return };
+    pub(crate) fn retry_claim(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let (Stage::Claim(votes), Some(c)) = (&job.stage, &mut job.claim) else { return };
         if c.ask_again.due(now) {
             let silent = c.ledgers().into_iter().filter(|a| !votes.contains_key(a));
             out.extend(silent.map(|a| c.ask(a)));
@@ -64,20 +64,20 @@
         out: &mut Vec<Out>,
     ) {
         let Some(id) = self.own_round(round) else { return };
-        let Some(j) = self.jobs.get_mut(&id) else { return self.count(UNASKED) };
-        let asked = j.claim.as_ref().is_some_and(|c| c.round == round && c.ledgers().contains(&from));
-        match &mut j.stage {
+        let Some(job) = self.jobs.get_mut(&id) else { return self.count(UNEXPECTED_ANSWER) };
+        let asked = job.claim.as_ref().is_some_and(|c| c.round == round && c.ledgers().contains(&from));
+        match &mut job.stage {
             Stage::Claim(votes) if asked => {
                 votes.insert(from, said);
                 self.count_votes(now, id, false, out);
             }
-            _ => self.count(UNASKED),
+            _ => self.count(UNEXPECTED_ANSWER),
         }
     }
 
     pub(crate) fn count_votes(&mut self, now: Mono, id: u64, late: bool, out: &mut Vec<Out>) {
-        let Some(j) = self.jobs.get(&id) else { return };
-        let (Stage::Claim(votes), Some(claim)) = (&j.stage, &j.claim) else { return };
+        let Some(job) = self.jobs.get(&id) else { return };
+        let (Stage::Claim(votes), Some(claim)) = (&job.stage, &job.claim) else { return };
         let known = votes.values().find_map(|v| match v {
             Claimed::Held(Some(w)) => Some(w.clone()),
             _ => None,
@@ -93,12 +93,12 @@
                 Step::Serve(std::sync::Arc::new(w.without_holders()), AnswerSource::Record, Mono(u64::MAX));
             self.finish(now, id, s, out);
         } else if claim.won(votes, self.env.losses) {
-            self.note_granted(id);
+            self.record_grants(id);
             self.enqueue_job(now, id, out);
         } else if held && (all || late) {
             // Another round has the key and its outcome is not known (yet).
             self.release_job(id, out);
-            let at_work = self.jobs.get(&id).is_some_and(|j| j.req.host.is_some());
+            let at_work = self.jobs.get(&id).is_some_and(|job| job.req.host.is_some());
             if at_work {
                 return self.deny(now, id, Denied::KeyAtWork, out);
             }
@@ -108,7 +108,7 @@
         }
     }
 
-    fn note_granted(&mut self, id: u64) {
+    fn record_grants(&mut self, id: u64) {
         let Some(Job { stage: Stage::Claim(votes), claim: Some(c), .. }) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -117,25 +117,25 @@
     }
 
     fn release_job(&mut self, id: u64, out: &mut Vec<Out>) {
-        if let Some(j) = self.jobs.remove(&id) {
-            self.release(&j, out);
-            self.jobs.insert(id, j);
+        if let Some(job) = self.jobs.remove(&id) {
+            self.release(&job, out);
+            self.jobs.insert(id, job);
         }
     }
 
     /// The round will never be sent: its key is free again.
-    pub(crate) fn release(&mut self, j: &Job, out: &mut Vec<Out>) {
-        if let Some(c) = j.claim.as_ref().filter(|_| j.tries == 0) {
+    pub(crate) fn release(&mut self, job: &Job, out: &mut Vec<Out>) {
+        if let Some(c) = job.claim.as_ref().filter(|_| job.sent_attempts == 0) {
             let free = |a| Out::Send(a, Msg::Release { key: c.key.clone(), round: c.round });
             out.extend(self.holders(c).into_iter().map(free));
         }
     }
 
     /// It ran: the outcome goes to the key's ledgers and to the caller.
-    pub(crate) fn ran(&mut self, now: Mono, id: u64, w: Whole, s: Step, out: &mut Vec<Out>) {
-        let claim = self.jobs.get(&id).and_then(|j| j.claim.clone());
+    pub(crate) fn finish_keyed(&mut self, now: Mono, id: u64, w: Whole, s: Step, out: &mut Vec<Out>) {
+        let claim = self.jobs.get(&id).and_then(|job| job.claim.clone());
         if let Some(c) = claim {
-            let ledgers = self.outcome_holders(&c);
+            let ledgers = self.rank_outcome_holders(&c);
             let Claim { round, key, print, .. } = c;
             let of = KeyedRound { key, print, round };
             let outcome_deliveries = if self.env.policy.near {
@@ -159,7 +159,7 @@
 
     /// Who may keep the outcome, the first choices last: the key's ledgers, those that granted it
     /// before others, of them those of the newest set, and of them the nearest.
-    fn outcome_holders(&self, c: &Claim) -> Vec<Holder> {
+    fn rank_outcome_holders(&self, c: &Claim) -> Vec<Holder> {
         let newest = self.table.roll.named(&c.key, self.env.losses).pop().unwrap_or_default();
         let here = &self.follow.env.zone;
         let known = |a: &Addr| self.table.ledgers.iter().find(|l| l.addr == *a);
@@ -178,11 +178,11 @@
         self.outcome_deliveries.retain(|o| !o.is_over(now));
     }
 
-    pub(crate) fn on_kept(&mut self, now: Mono, from: Addr, round: RoundId) {
+    pub(crate) fn on_outcome_stored(&mut self, now: Mono, from: Addr, round: RoundId) {
         if self.own_round(round).is_none() {
             return;
         }
-        self.outcome_deliveries.iter_mut().filter(|o| o.of.round == round).for_each(|o| o.note_kept(from));
+        self.outcome_deliveries.iter_mut().filter(|o| o.of.round == round).for_each(|o| o.note_stored(from));
         self.outcome_deliveries.retain(|o| !o.is_over(now));
     }
 }
--- a/crates/edge/src/load_balancing.rs
+++ b/crates/edge/src/load_balancing.rs
@@ -7,38 +7,38 @@
 
 /// What another zone, and another region, counts as over the origin's own pace: for
 /// what may be long and is shared, and for the rest.
-const SHARED: (f64, f64) = (4.0, 6.0);
-const OWN: (f64, f64) = (0.7, 1.5);
+const SHARED_DISTANCE_COST: (f64, f64) = (4.0, 6.0);
+const UNSHARED_DISTANCE_COST: (f64, f64) = (0.7, 1.5);
 /// An origin that nobody here has asked yet.
-const UNKNOWN: Span = Span::ms(80);
+const DEFAULT_RESPONSE_TIME: Span = Span::ms(80);
 /// One that is still warming up.
-const COLD: f64 = 1.5;
+const WARMING_COST: f64 = 1.5;
 
 impl Edge {
     /// Requests this edge has out, by origin.
-    fn out_now(&self) -> BTreeMap<(Addr, Birth), u32> {
-        let mut n = BTreeMap::new();
-        for j in self.jobs.values() {
-            if let Stage::Out(r, _) = &j.stage {
-                *n.entry((r.addr, r.birth)).or_default() += 1;
+    fn in_flight_by_origin(&self) -> BTreeMap<(Addr, Birth), u32> {
+        let mut in_flight = BTreeMap::new();
+        for job in self.jobs.values() {
+            if let Stage::Out(r, _) = &job.stage {
+                *in_flight.entry((r.addr, r.birth)).or_default() += 1;
             }
         }
-        n
+        in_flight
     }
 
     /// How long an answer from there is likely to take, nearer ones first.
-    fn outlook(&self, a: &Addr, o: &Origin, out: u32, shared: bool) -> f64 {
-        let pace = self.seen.pace(a, o.birth).unwrap_or(UNKNOWN).0 as f64;
+    fn expected_cost(&self, a: &Addr, o: &Origin, in_flight: u32, shared: bool) -> f64 {
+        let latency = self.origin_health.latency(a, o.birth).unwrap_or(DEFAULT_RESPONSE_TIME).0 as f64;
         let here = &self.follow.env.zone;
-        let (zone, region) = if shared { SHARED } else { OWN };
-        let away = match (o.zone == *here, o.zone.region() == here.region()) {
+        let (zone, region) = if shared { SHARED_DISTANCE_COST } else { UNSHARED_DISTANCE_COST };
+        let distance = match (o.zone == *here, o.zone.region() == here.region()) {
             (true, _) => 0.0,
             (_, true) => zone,
             _ => region,
         };
-        let cold = self.seen.beats.get(a).is_some_and(|(b, _)| b.mood == Mood::Warming);
-        let load = out as f64 / o.cap.max(1) as f64 * 2.0;
-        pace * (1.0 + load + away + if cold { COLD } else { 0.0 })
+        let warming = self.origin_health.heartbeats.get(a).is_some_and(|(b, _)| b.mood == Mood::Warming);
+        let load = in_flight as f64 / o.cap.max(1) as f64 * 2.0;
+        latency * (1.0 + load + distance + if warming { WARMING_COST } else { 0.0 })
     }
 
     /// Usable origins, the most promising first: of two drawn by the request the
@@ -47,28 +47,28 @@
         &self,
         now: Mono,
         svc: &Svc,
-        draw: u64,
+        selector: u64,
         shared: bool,
     ) -> Vec<(Addr, Origin, Mono)> {
-        let out = self.out_now();
+        let in_flight = self.in_flight_by_origin();
         let all = self.table.origins.get(svc).cloned().unwrap_or_default();
-        let mut v: Vec<(u8, f64, (Addr, Origin, Mono))> = all
+        let mut ranked: Vec<(u8, f64, (Addr, Origin, Mono))> = all
             .into_iter()
             .map(|(a, o)| {
-                let n = out.get(&(a, o.birth)).copied().unwrap_or(0);
+                let count = in_flight.get(&(a, o.birth)).copied().unwrap_or(0);
                 let until = self.fresh_until(&a, &o);
                 let stale = until <= now;
-                let silent = self.seen.is_unreached(now, &a, o.birth);
-                let bad = self.seen.is_failing(now, &a, o.birth);
-                let demerit = silent as u8 * 4 + bad as u8 * 2 + stale as u8;
+                let unreachable = self.origin_health.is_unreachable(now, &a, o.birth);
+                let failing_until = self.origin_health.is_failing(now, &a, o.birth);
+                let penalty = unreachable as u8 * 4 + failing_until as u8 * 2 + stale as u8;
                 let until =
                     if stale && self.follow.env.serve_without_lease { now + Span::secs(1) } else { until };
-                let noise = 0.75 + (primitives::hash(&(draw, a)) % 1000) as f64 / 2000.0;
-                (demerit, self.outlook(&a, &o, n, shared) * noise, (a, o, until))
+                let jitter = 0.75 + (primitives::hash(&(selector, a)) % 1000) as f64 / 2000.0;
+                (penalty, self.expected_cost(&a, &o, count, shared) * jitter, (a, o, until))
             })
             .filter(|(.., (_, _, until))| *until > now)
             .collect();
-        v.sort_by(|x, y| x.0.cmp(&y.0).then(x.1.total_cmp(&y.1)));
-        v.into_iter().map(|(.., c)| c).collect()
+        ranked.sort_by(|x, y| x.0.cmp(&y.0).then(x.1.total_cmp(&y.1)));
+        ranked.into_iter().map(|(.., candidate)| candidate).collect()
     }
 }
--- a/crates/edge/src/local_controller.rs
+++ b/crates/edge/src/local_controller.rs
@@ -7,23 +7,24 @@
 use control_state::*;
 use primitives::{Mono, Span};
 
-/// How often an unchanged membership is told again: messages get lost.
-const TELL_AGAIN: Span = Span::secs(1);
+/// How often an unchanged membership is sent_at again: messages get lost.
+const MEMBERSHIP_INTERVAL: Span = Span::secs(1);
 
-/// What the neighbouring controller was told last.
+/// What the neighbouring controller was sent_at last.
 #[derive(Debug, Default)]
 pub(crate) struct LocalControllerState {
     era: Era,
-    told: Mono,
+    sent_at: Mono,
 }
 
 impl Edge {
     pub(crate) fn send_members_to_local_controller(&mut self, now: Mono, out: &mut Vec<Out>) {
         let Some(controller) = self.env.controller else { return };
         let era = self.follow.era;
-        let news = era != self.local_controller.era || now - self.local_controller.told >= TELL_AGAIN;
-        if news && !self.follow.members.is_empty() {
-            self.local_controller = LocalControllerState { era, told: now };
+        let is_due =
+            era != self.local_controller.era || now - self.local_controller.sent_at >= MEMBERSHIP_INTERVAL;
+        if is_due && !self.follow.members.is_empty() {
+            self.local_controller = LocalControllerState { era, sent_at: now };
             out.push(Out::Send(controller, Msg::Membership(era, self.follow.members.clone())));
         }
     }
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -75,7 +75,7 @@
             Source::Ledger | Source::Origin => "ledger",
         },
         Stage::Claim(_) => "claim",
-        Stage::Line => "line",
+        Stage::Queued => "line",
         Stage::Out(..) => "origin",
     }
 }
--- a/crates/edge/src/outcome_deliveries.rs
+++ b/crates/edge/src/outcome_deliveries.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeSet;
 
 /// How long a ledger that is to hold an outcome may keep silent.
-const SILENCE: Span = Span::secs(1);
+const ACKNOWLEDGEMENT_TIMEOUT: Span = Span::secs(1);
 /// How long an outcome is offered.
-const OFFERED: Span = Span::secs(8);
+const DELIVERY_TIMEOUT: Span = Span::secs(8);
 /// The first and the longest pause after which an outcome not known to be kept is sent again.
-const SEND_AGAIN: (Span, Span) = (Span::ms(250), Span::secs(2));
+const RESEND_DELAYS: (Span, Span) = (Span::ms(250), Span::secs(2));
 
 /// What an outcome is of.
 #[derive(Clone, Debug)]
@@ -44,7 +44,7 @@
         let mut others = ledgers;
         let chosen = others.split_off(others.len().saturating_sub(copies));
         let silent = chosen.iter().map(|h| h.addr).collect();
-        let send_again = Backoff::new(now, SEND_AGAIN.0, SEND_AGAIN.1);
+        let send_again = Backoff::new(now, RESEND_DELAYS.0, RESEND_DELAYS.1);
         OutcomeDelivery { of, whole, chosen, silent, others, began: now, chosen_at: now, send_again }
     }
 
@@ -73,7 +73,7 @@
     /// Turns from ledgers that kept silent for long to others; whether it did. Those that hold it
     /// already are told who holds it now.
     fn choose_again(&mut self, now: Mono) -> bool {
-        if now - self.chosen_at < SILENCE || self.others.is_empty() {
+        if now - self.chosen_at < ACKNOWLEDGEMENT_TIMEOUT || self.others.is_empty() {
             return false;
         }
         self.chosen_at = now;
@@ -84,12 +84,12 @@
         true
     }
 
-    pub(crate) fn note_kept(&mut self, by: Addr) {
+    pub(crate) fn note_stored(&mut self, by: Addr) {
         self.silent.remove(&by);
     }
 
     /// Nobody is left to be told, or there was no telling them.
     pub(crate) fn is_over(&self, now: Mono) -> bool {
-        self.silent.is_empty() || now - self.began >= OFFERED
+        self.silent.is_empty() || now - self.began >= DELIVERY_TIMEOUT
     }
 }
--- a/crates/edge/src/purged_tags.rs
+++ b/crates/edge/src/purged_tags.rs
@@ -5,11 +5,11 @@
 use std::collections::BTreeMap;
 
 /// The field in which an origin's answer names its tags, parted by spaces.
-const TAGS: &str = "lanewing-tags";
+const TAGS_HEADER: &str = "lanewing-tags";
 
 /// The tags of an answer with these fields.
 pub(crate) fn tags(heads: &Headers) -> impl Iterator<Item = &str> {
-    heads.get(TAGS).unwrap_or_default().split_ascii_whitespace()
+    heads.get(TAGS_HEADER).unwrap_or_default().split_ascii_whitespace()
 }
 
 /// When each tag was purged last, as far back as anything under way was asked for.
--- a/crates/edge/src/queue.rs
+++ b/crates/edge/src/queue.rs
@@ -11,29 +11,29 @@
 
 /// A request waits in line for at most this part of the time that it has, in hundredths: it is
 /// told before half of its time is over.
-const PATIENCE: u64 = 45;
-const MICROS_A_SECOND: f64 = 1e6;
+const MAX_QUEUE_TIME_PERCENT: u64 = 45;
+const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Where a request stands in line: the more urgent first, of them those that can still be served
 /// in time, and of them who has waited longer.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Place {
+pub(crate) struct QueuePosition {
     rank: u8,
     late: bool,
     since: Mono,
 }
 impl Job {
-    pub(crate) fn in_line(&self) -> bool {
-        matches!(self.stage, Stage::Line)
+    pub(crate) fn is_queued(&self) -> bool {
+        matches!(self.stage, Stage::Queued)
     }
 
-    fn place(&self, now: Mono) -> Place {
-        Place { rank: self.row.rank, late: now >= self.due, since: self.stage_since }
+    fn queue_position(&self, now: Mono) -> QueuePosition {
+        QueuePosition { rank: self.row.rank, late: now >= self.due, since: self.stage_since }
     }
 
     /// Until when a caller of it waits in line. What was sent once may wait again.
     pub(crate) fn queue_deadline(&self, caller: &Waiting) -> Mono {
-        if self.tries == 0 {
+        if self.sent_attempts == 0 {
             caller.queue_deadline
         } else {
             queue_deadline_for(self.stage_since, caller.by)
@@ -52,7 +52,7 @@
 }
 
 fn queue_deadline_for(since: Mono, by: Mono) -> Mono {
-    since + Span((by - since).0 * PATIENCE / 100)
+    since + Span((by - since).0 * MAX_QUEUE_TIME_PERCENT / 100)
 }
 
 impl Waiting {
@@ -70,14 +70,15 @@
 impl Edge {
     /// Into the line for the service; out of it at once if there is leave.
     pub(crate) fn enqueue_job(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
-        self.stage(now, id, Stage::Line);
-        let Some(j) = self.jobs.get(&id) else { return };
-        let (svc, place, first) = (j.svc.clone(), j.place(now), j.tries == 0 && j.unsent == 0);
-        let patience = j.latest_queue_deadline() - now;
+        self.set_stage(now, id, Stage::Queued);
+        let Some(job) = self.jobs.get(&id) else { return };
+        let (svc, queue_position, first) =
+            (job.svc.clone(), job.queue_position(now), job.sent_attempts == 0 && job.unsent_attempts == 0);
+        let patience = job.latest_queue_deadline() - now;
         if first {
             self.note_first_attempt(now, &svc);
         }
-        let ahead = |o: &Job| o.in_line() && o.svc == svc && o.place(now) <= place;
+        let ahead = |o: &Job| o.is_queued() && o.svc == svc && o.queue_position(now) <= queue_position;
         let before = self.jobs.iter().filter(|(i, o)| **i != id && ahead(o)).count();
         if before == 0 {
             self.start_round(now, id, out);
@@ -89,15 +90,15 @@
 
     /// Whether anybody here has had to wait for leave to ask that service.
     pub(crate) fn has_queued_jobs(&self, now: Mono, svc: &Svc) -> bool {
-        self.jobs.values().any(|j| j.in_line() && j.svc == *svc && j.stage_since < now)
+        self.jobs.values().any(|job| job.is_queued() && job.svc == *svc && job.stage_since < now)
     }
 
     /// Lets the lines move, each until somebody in it has to wait.
     pub(crate) fn start_queued_jobs(&mut self, now: Mono, out: &mut Vec<Out>) {
-        for line in self.lines(now) {
+        for line in self.queues(now) {
             for id in line {
                 self.start_round(now, id, out);
-                if self.jobs.get(&id).is_some_and(Job::in_line) {
+                if self.jobs.get(&id).is_some_and(Job::is_queued) {
                     break;
                 }
             }
@@ -105,22 +106,22 @@
     }
 
     /// Those who wait for each service, in order.
-    fn lines(&self, now: Mono) -> Vec<Vec<u64>> {
-        let mut lines: BTreeMap<&Svc, Vec<(Place, u64)>> = BTreeMap::new();
-        for (id, j) in self.jobs.iter().filter(|(_, j)| j.in_line()) {
-            lines.entry(&j.svc).or_default().push((j.place(now), *id));
+    fn queues(&self, now: Mono) -> Vec<Vec<u64>> {
+        let mut queues: BTreeMap<&Svc, Vec<(QueuePosition, u64)>> = BTreeMap::new();
+        for (id, job) in self.jobs.iter().filter(|(_, job)| job.is_queued()) {
+            queues.entry(&job.svc).or_default().push((job.queue_position(now), *id));
         }
-        let in_order = |mut line: Vec<(Place, u64)>| {
+        let in_order = |mut line: Vec<(QueuePosition, u64)>| {
             line.sort_unstable();
             line.into_iter().map(|(_, id)| id).collect()
         };
-        lines.into_values().map(in_order).collect()
+        queues.into_values().map(in_order).collect()
     }
 
     /// How long it takes at least until so many of the line have gone.
     fn wait_behind(&self, svc: &Svc, before: usize) -> Span {
         let Some(share) = self.table.shares.get(svc) else { return Span(0) };
         let most = self.table.own_rate(self.follow.env.id, share) + share.lent;
-        Span((before as f64 / most * MICROS_A_SECOND) as u64)
+        Span((before as f64 / most * MICROS_PER_SECOND) as u64)
     }
 }
--- a/crates/edge/src/read.rs
+++ b/crates/edge/src/read.rs
@@ -1,5 +1,5 @@
 //! Readable content: each object has a home edge that fills it once for all.
-use crate::cacheability::sharing;
+use crate::cacheability::cacheability;
 use crate::copies::Copy;
 use crate::edge::Edge;
 use crate::jobs::*;
@@ -13,7 +13,7 @@
 pub(crate) const DELIVERY_MARGIN: Span = Span::secs(1);
 
 /// What another edge asks for, beside the object.
-pub(crate) struct Wish {
+pub(crate) struct CopyRequestOptions {
     pub heads: Headers,
     pub reach: Reach,
     /// The `ETag` of what it holds.
@@ -22,30 +22,30 @@
 }
 
 impl Edge {
-    pub(crate) fn read(&mut self, now: Mono, mut j: Job, out: &mut Vec<Out>) {
-        let obj = j.object();
-        let own = j.req.heads.personal();
+    pub(crate) fn read(&mut self, now: Mono, mut job: Job, out: &mut Vec<Out>) {
+        let obj = job.object();
+        let own = job.req.heads.personal();
         // A lifetime that was shortened since holds for what is kept already.
-        let young = |c: &&Copy| now - c.since < j.row.ttl;
+        let young = |c: &&Copy| now - c.since < job.row.ttl;
         if let Some(c) = self.copies.get(now, &obj).filter(|c| c.public || !own).filter(young).cloned() {
             let until = (c.until + DELIVERY_MARGIN).min(self.leased_until());
             let s = Step::Serve(c.whole.clone(), AnswerSource::Copy(now - c.since), until);
-            return j.callers.iter().for_each(|c| self.tell(now, &c.caller, s.clone(), out));
+            return job.callers.iter().for_each(|c| self.answer_caller(now, &c.caller, s.clone(), out));
         }
         // What is this caller's own is asked of the origin, for this caller alone.
-        let asks = ["if-match", "if-unmodified-since"].iter().any(|n| j.req.heads.has(n));
-        let asks = asks || !j.req.body.is_empty();
+        let asks = ["if-match", "if-unmodified-since"].iter().any(|n| job.req.heads.has(n));
+        let asks = asks || !job.req.body.is_empty();
         if own || asks || self.unshared.get(&obj).is_some_and(|t| *t > now) {
-            j.unshared = true;
-            self.launch(now, j, out);
+            job.unshared = true;
+            self.enqueue_new_job(now, job, out);
             return;
         }
-        j.req = CallerRequest { method: "GET".into(), heads: j.req.heads.for_shared_fetch(), ..j.req };
-        if self.join_fill(&obj, &j.callers, None) {
+        job.req = CallerRequest { method: "GET".into(), heads: job.req.heads.for_shared_fetch(), ..job.req };
+        if self.join_fill(&obj, &job.callers, None) {
             return;
         }
         let id = self.number();
-        self.jobs.insert(id, j);
+        self.jobs.insert(id, job);
         let source = self.first_source(now, &obj, None);
         self.ask_source(now, id, source, out);
     }
@@ -54,53 +54,53 @@
     /// does not wait for another who does.
     fn join_fill(&mut self, obj: &Object, callers: &[Waiting], home_reach: Option<Reach>) -> bool {
         let id = self.fills.get(obj).copied();
-        let beyond = |j: &Job| match (&j.stage, home_reach) {
+        let beyond = |job: &Job| match (&job.stage, home_reach) {
             (Stage::Home(copy_request), Some(acts)) => copy_request.source > Source::Home(acts),
             _ => true,
         };
-        let open = id.and_then(|id| self.jobs.get_mut(&id)).filter(|j| !j.spoiled && beyond(j));
-        open.map(|j| j.join(callers)).is_some()
+        let open = id.and_then(|id| self.jobs.get_mut(&id)).filter(|job| !job.invalidated && beyond(job));
+        open.map(|job| job.join(callers)).is_some()
     }
 
     /// An answer to a question for a copy.
-    pub(crate) fn copy_got(&mut self, to: Addr, ask: RequestId, said: CopyReply) -> Out {
+    pub(crate) fn copy_result(&mut self, to: Addr, ask: RequestId, said: CopyReply) -> Out {
         Out::Send(to, Msg::CopyResult { ask, said, purges: self.purges() })
     }
 
-    pub(crate) fn on_copy_ask(
+    pub(crate) fn on_copy_query(
         &mut self,
         now: Mono,
         (from, ask): (Addr, RequestId),
         obj: Object,
-        wish: Wish,
+        options: CopyRequestOptions,
         out: &mut Vec<Out>,
     ) {
         let caller = Caller::Edge(from, ask);
         // Purges may not have reached an edge out of touch: others do not rely on it.
         if !self.in_touch(now) {
-            return out.push(self.copy_got(from, ask, CopyReply::TemporarilyUnavailable));
+            return out.push(self.copy_result(from, ask, CopyReply::TemporarilyUnavailable));
         }
         // By the lane that leads to it now: the asker may go by an older configuration, or a newer.
-        let lane = self.table.lane_of(&obj.site, &obj.path).unwrap_or_default();
+        let lane = self.table.route_of(&obj.site, &obj.path).unwrap_or_default();
         let rows = self.table.lanes.get(&lane).cloned().unwrap_or_default();
         let ttl = rows.iter().find(|(s, _)| *s == obj.service).map_or(Span(0), |(_, r)| r.ttl);
         let held = self.copies.get(now, &obj).filter(|c| now - c.since < ttl).cloned();
         if let Some(c) = held {
             let until = c.until.min(self.leased_until());
-            let same = wish.held.is_some() && wish.held.as_deref() == c.whole.heads.get("etag");
+            let same = options.held.is_some() && options.held.as_deref() == c.whole.heads.get("etag");
             let said = if same {
                 CopyReply::Same { left: until - now, current_age: now - c.since }
             } else {
                 CopyReply::Got(Box::new(c.show(now, until)))
             };
-            return out.push(self.copy_got(from, ask, said));
+            return out.push(self.copy_result(from, ask, said));
         }
         if self.unshared.get(&obj).is_some_and(|t| *t > now) {
-            return out.push(self.copy_got(from, ask, CopyReply::Uncacheable));
+            return out.push(self.copy_result(from, ask, CopyReply::Uncacheable));
         }
         out.push(Out::Send(from, Msg::CopyPending(ask)));
-        let waiting = Waiting::of_edge(caller, now, wish.patience);
-        if self.leased(now) && self.join_fill(&obj, std::slice::from_ref(&waiting), Some(wish.reach)) {
+        let waiting = Waiting::of_edge(caller, now, options.patience);
+        if self.leased(now) && self.join_fill(&obj, std::slice::from_ref(&waiting), Some(options.reach)) {
             return;
         }
         let (method, body) = ("GET".into(), Arc::new(vec![]));
@@ -109,21 +109,21 @@
             lane,
             path: obj.path.clone(),
             key: None,
-            heads: wish.heads.for_shared_fetch(),
+            heads: options.heads.for_shared_fetch(),
             body,
-            left: Some(wish.patience.left),
+            left: Some(options.patience.left),
             ..CallerRequest::default()
         };
-        match self.admit(now, req).ok().filter(|j| j.object() == obj && j.kind == Kind::Read) {
-            Some(mut j) => {
-                j.join(&[waiting]);
-                j.home_reach = Some(wish.reach);
+        match self.admit(now, req).ok().filter(|job| job.object() == obj && job.kind == Kind::Read) {
+            Some(mut job) => {
+                job.join(&[waiting]);
+                job.home_reach = Some(options.reach);
                 let id = self.number();
-                self.jobs.insert(id, j);
-                let source = self.first_source(now, &obj, Some(wish.reach));
+                self.jobs.insert(id, job);
+                let source = self.first_source(now, &obj, Some(options.reach));
                 self.ask_source(now, id, source, out);
             }
-            None => self.tell(now, &waiting.caller, Step::Deny(Denied::NoOrigin, Span(0)), out),
+            None => self.answer_caller(now, &waiting.caller, Step::Deny(Denied::NoOrigin, Span(0)), out),
         }
     }
 
@@ -134,18 +134,18 @@
     }
 
     /// A whole answer for a fill: kept if it may be, then served.
-    pub(crate) fn filled(&mut self, now: Mono, id: u64, sent: Mono, w: Whole, out: &mut Vec<Out>) {
-        let Some(j) = self.jobs.get(&id) else { return };
-        let says = sharing(&j.req, &w, j.row.ttl);
-        let (obj, until, alone) = (j.object(), sent + says.life, j.unshared);
-        self.body_sizes.note(&j.req.lane, w.size());
+    pub(crate) fn finish_fill(&mut self, now: Mono, id: u64, sent: Mono, w: Whole, out: &mut Vec<Out>) {
+        let Some(job) = self.jobs.get(&id) else { return };
+        let says = cacheability(&job.req, &w, job.row.ttl);
+        let (obj, until, alone) = (job.object(), sent + says.life, job.unshared);
+        self.body_sizes.note(&job.req.lane, w.size());
         let common = !says.personal && (w.status != 200 || says.life > Span(0));
         // What one caller asked for alone may be less than the whole, or encoded for it.
-        let plain = !alone || (j.req.method == "GET" && !w.heads.has("content-encoding"));
+        let plain = !alone || (job.req.method == "GET" && !w.heads.has("content-encoding"));
         if plain && says.life > Span(0) && self.leased(now) {
             let since = sent - says.current_age;
             let whole = Arc::new(w.kept());
-            self.keep(now, obj.clone(), Copy { whole, public: says.public, since, until, guest: false });
+            self.keep(now, obj.clone(), Copy { whole, public: says.public, since, until, non_home: false });
             if until - now >= MIN_DISK_CACHE_TTL {
                 if let Some(a) = self.disk_cache_ledger(now, &obj) {
                     out.push(Out::Send(a, Msg::DiskCacheOffer(self.ask_id(id))));
--- a/crates/edge/src/revalidation.rs
+++ b/crates/edge/src/revalidation.rs
@@ -1,35 +1,43 @@
 //! Renewing copies: an origin that still has what a copy shows says so in a few bytes.
-use crate::cacheability::sharing;
+use crate::cacheability::cacheability;
 use crate::copies::Copy;
 use crate::edge::Edge;
 use control_state::*;
 use primitives::{Mono, Span};
 
-pub(crate) const ASK_IF: &str = "if-none-match";
+pub(crate) const IF_NONE_MATCH: &str = "if-none-match";
 /// As for any copy, see `read`.
 const DELIVERY_MARGIN: Span = Span::secs(1);
 
 impl Edge {
     /// A fill of something that was had before asks only for what is newer.
     pub(crate) fn conditional(&self, id: u64, req: CallerRequest) -> CallerRequest {
-        let j = self.jobs.get(&id).filter(|j| j.kind == Kind::Read && !j.unshared && !j.plain);
-        let was = j.and_then(|j| self.copies.peek(&j.object()));
+        let job =
+            self.jobs.get(&id).filter(|job| job.kind == Kind::Read && !job.unshared && !job.unconditional);
+        let was = job.and_then(|job| self.copies.peek(&job.object()));
         let tag = was.and_then(|c| c.whole.heads.get("etag")).map(str::to_string);
-        tag.into_iter().fold(req, |q, t| CallerRequest { heads: q.heads.with(ASK_IF, t), ..q })
+        tag.into_iter().fold(req, |q, t| CallerRequest { heads: q.heads.with(IF_NONE_MATCH, t), ..q })
     }
 
     /// The origin has nothing newer: the copy lives on, from when it was asked about.
     /// Invariant: a copy that a purge took meanwhile is not there to be renewed.
-    pub(crate) fn renewed(&mut self, now: Mono, id: u64, sent: Mono, r: &Round, out: &mut Vec<Out>) {
-        let Some(j) = self.jobs.get_mut(&id) else { return };
-        let (obj, ttl) = (j.object(), j.row.ttl);
-        let same = |c: &&Copy| c.whole.heads.get("etag") == r.req.heads.get(ASK_IF);
+    pub(crate) fn finish_revalidation(
+        &mut self,
+        now: Mono,
+        id: u64,
+        sent: Mono,
+        r: &Round,
+        out: &mut Vec<Out>,
+    ) {
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let (obj, ttl) = (job.object(), job.row.ttl);
+        let same = |c: &&Copy| c.whole.heads.get("etag") == r.req.heads.get(IF_NONE_MATCH);
         let Some(was) = self.copies.peek(&obj).filter(same).cloned() else {
             // It left the shelf for room: the whole is wanted after all.
-            j.plain = true;
+            job.unconditional = true;
             return self.retry_or(now, id, true, Step::OutcomeUnknown(Span::secs(1)), out);
         };
-        let life = sharing(&r.req, &was.whole, ttl).life;
+        let life = cacheability(&r.req, &was.whole, ttl).life;
         let (since, until) = (sent, sent + life);
         self.count("renewed");
         self.copies.put(obj, Copy { since, until, ..was.clone() });
--- a/crates/edge/src/route_table.rs
+++ b/crates/edge/src/route_table.rs
@@ -4,11 +4,11 @@
 
 /// Invariant: a prefix begins and ends with a slash; one lane has each.
 #[derive(Clone, Debug, Default)]
-pub struct Lanes {
+pub struct RouteTable {
     by_host: BTreeMap<String, BTreeMap<String, Lane>>,
 }
 
-impl Lanes {
+impl RouteTable {
     pub fn add(&mut self, name: &str, e: &LaneEntry) {
         let host = self.by_host.entry(e.host.to_ascii_lowercase()).or_default();
         host.insert(e.prefix.clone(), Lane(name.to_string()));
--- a/crates/edge/src/sources.rs
+++ b/crates/edge/src/sources.rs
@@ -14,15 +14,15 @@
 /// Copies that live shorter are not worth a ledger's disk.
 pub(crate) const MIN_DISK_CACHE_TTL: Span = Span::secs(1);
 /// A home that kept silent is passed over for so long.
-const PASSED_OVER: Span = Span::secs(2);
+const UNRESPONSIVE_COOLDOWN: Span = Span::secs(2);
 /// No home is waited for longer.
-const LONGEST_WAIT: Span = Span::secs(1);
+const MAX_HOME_TIMEOUT: Span = Span::secs(1);
 /// A home that is at it says so again and again; one that has not for so long is gone.
-const SILENT_AT_IT: Span = Span::ms(1500);
+const PROGRESS_TIMEOUT: Span = Span::ms(1500);
 /// A home that said it is out of touch is passed over for so long.
-const OUT_OF_TOUCH: Span = Span::ms(300);
+const NO_QUORUM_COOLDOWN: Span = Span::ms(300);
 /// Homes of the widest reach that are asked before the origin.
-const WIDEST_HOMES: u8 = 2;
+const MAX_WIDEST_HOMES: u8 = 2;
 
 /// What a job asks for its object, in this order.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -56,7 +56,7 @@
     /// The first home by rendezvous of those that have not kept silent lately.
     pub(crate) fn home(&self, now: Mono, object: &Object, reach: Reach) -> Option<Addr> {
         let homes = self.table.homes(reach, &self.follow.env.zone).iter();
-        let speaks = |e: &&EdgeNode| self.mute.get(&e.addr).is_none_or(|t| *t <= now);
+        let speaks = |e: &&EdgeNode| self.unresponsive.get(&e.addr).is_none_or(|t| *t <= now);
         primitives::first(object, homes.filter(speaks), |e| e.id.0, |e| e.capacity).map(|e| e.addr)
     }
 
@@ -68,7 +68,7 @@
         let here = self.follow.env.zone.region();
         let near: Vec<_> = self.table.ledgers.iter().filter(|l| l.zone.region() == here).cloned().collect();
         let ranked = primitives::rank(obj, &near, |l| l.id.0);
-        let speaks = |a: &Addr| self.mute.get(a).is_none_or(|t| *t <= now);
+        let speaks = |a: &Addr| self.unresponsive.get(a).is_none_or(|t| *t <= now);
         ranked.into_iter().map(|l| l.addr).next().filter(speaks)
     }
 
@@ -84,36 +84,36 @@
 
     /// Who was asked is out of touch: another home of the same reach, or the next source.
     pub(crate) fn ask_another(&mut self, now: Mono, id: u64, copy_request: CopyRequest, out: &mut Vec<Out>) {
-        self.mute.insert(copy_request.to, now + OUT_OF_TOUCH);
+        self.unresponsive.insert(copy_request.to, now + NO_QUORUM_COOLDOWN);
         self.ask_source(now, id, copy_request.source, out);
     }
 
     /// Fills that stand in line here for want of a home: once there is one that speaks, they are
     /// left to it.
     pub(crate) fn move_queued_fills_to_homes(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let fill = |j: &Job| j.in_line() && j.kind == Kind::Read && !j.unshared;
-        let fills: Vec<u64> = self.jobs.iter().filter(|(_, j)| fill(j)).map(|(id, _)| *id).collect();
+        let fill = |job: &Job| job.is_queued() && job.kind == Kind::Read && !job.unshared;
+        let fills: Vec<u64> = self.jobs.iter().filter(|(_, job)| fill(job)).map(|(id, _)| *id).collect();
         fills.into_iter().for_each(|id| self.leave_line_for_home(now, id, out));
     }
 
     fn leave_line_for_home(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
-        let Some(j) = self.jobs.get(&id) else { return };
-        let (object, home_reach) = (j.object(), j.home_reach);
+        let Some(job) = self.jobs.get(&id) else { return };
+        let (object, home_reach) = (job.object(), job.home_reach);
         let mut source = self.first_source(now, &object, home_reach);
         while let Source::Home(reach) = source {
             if self.home_to_ask(now, &object, reach).is_some() {
                 self.count("left a line for a home");
                 return self.ask_source(now, id, source, out);
             }
-            source = self.after(source);
+            source = self.next_source(source);
         }
     }
 
     /// Asks the source, or the next one that there is.
     pub(crate) fn ask_source(&mut self, now: Mono, id: u64, source: Source, out: &mut Vec<Out>) {
-        let Some(j) = self.jobs.get_mut(&id) else { return };
-        j.spoiled = false;
-        let (object, lives) = (j.object(), j.row.ttl >= MIN_DISK_CACHE_TTL);
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        job.invalidated = false;
+        let (object, lives) = (job.object(), job.row.ttl >= MIN_DISK_CACHE_TTL);
         self.fills.insert(object.clone(), id);
         let to = match source {
             Source::Home(reach) => self.home_to_ask(now, &object, reach),
@@ -127,13 +127,13 @@
                 CopyRequest { to, asked: now, source, last_progress_at: None },
                 out,
             ),
-            None => self.ask_source(now, id, self.after(source), out),
+            None => self.ask_source(now, id, self.next_source(source), out),
         }
     }
 
     /// The home of that reach, if it is another edge and not passed by.
     fn home_to_ask(&self, now: Mono, object: &Object, reach: Reach) -> Option<Addr> {
-        if self.rather_near(now, object, reach) {
+        if self.prefers_nearby_origin(now, object, reach) {
             return None;
         }
         self.home(now, object, reach).filter(|home| *home != self.follow.env.addr)
@@ -141,16 +141,16 @@
 
     /// Whether an origin of the own zone or region is asked rather than a home beyond it: for a
     /// large body of which there is nothing to be renewed.
-    fn rather_near(&self, now: Mono, object: &Object, reach: Reach) -> bool {
+    fn prefers_nearby_origin(&self, now: Mono, object: &Object, reach: Reach) -> bool {
         let here = &self.follow.env.zone;
-        let at_hand = |origin: &Origin| match reach {
+        let is_nearby = |origin: &Origin| match reach {
             Reach::Zone => false,
             Reach::Region => origin.zone == *here,
             Reach::Deployment => origin.zone.region() == here.region(),
         };
         let usable =
-            |(addr, origin): &(Addr, Origin)| at_hand(origin) && self.fresh_until(addr, origin) > now;
-        let Some(lane) = self.table.lane_of(&object.site, &object.path) else { return false };
+            |(addr, origin): &(Addr, Origin)| is_nearby(origin) && self.fresh_until(addr, origin) > now;
+        let Some(lane) = self.table.route_of(&object.site, &object.path) else { return false };
         let origins = self.table.origins.get(&object.service).map_or(&[][..], Vec::as_slice);
         let renewable = || self.copies.peek(object).is_some_and(|c| c.whole.heads.has("etag"));
         // Within a region origins are spared the others' fills where they have few slots, and
@@ -166,7 +166,7 @@
             && !spared()
     }
 
-    fn after(&self, source: Source) -> Source {
+    fn next_source(&self, source: Source) -> Source {
         let Source::Home(reach) = source else { return Source::Origin };
         let wider = self.reaches().iter().find(|r| **r > reach);
         wider.map_or(Source::Ledger, |r| Source::Home(*r))
@@ -174,8 +174,8 @@
 
     fn send_copy_request(&mut self, now: Mono, id: u64, copy_request: CopyRequest, out: &mut Vec<Out>) {
         let ask = self.ask_id(id);
-        let Some(j) = self.jobs.get(&id) else { return };
-        let (object, heads, patience) = (j.object(), j.req.heads.clone(), j.patience(now));
+        let Some(job) = self.jobs.get(&id) else { return };
+        let (object, heads, patience) = (job.object(), job.req.heads.clone(), job.patience(now));
         let reach = match copy_request.source {
             Source::Home(reach) => reach,
             _ => Reach::Deployment,
@@ -191,17 +191,17 @@
             _ => "asked of ledgers",
         });
         out.push(Out::Send(copy_request.to, Msg::CopyQuery { ask, object, heads, reach, held, patience }));
-        self.stage(now, id, Stage::Home(copy_request));
+        self.set_stage(now, id, Stage::Home(copy_request));
     }
 
     /// How long whoever was asked may take.
-    pub(crate) fn patience_with(&self, copy_request: &CopyRequest) -> Span {
+    pub(crate) fn copy_request_timeout(&self, copy_request: &CopyRequest) -> Span {
         let policy = &self.env.policy;
         match (copy_request.source, copy_request.last_progress_at) {
-            (_, Some(said)) => said - copy_request.asked + SILENT_AT_IT,
+            (_, Some(said)) => said - copy_request.asked + PROGRESS_TIMEOUT,
             (Source::Home(reach), None) => {
                 let least = if reach == Reach::Zone { policy.home } else { policy.wide_home_timeout };
-                self.answer_times.get(&reach).copied().unwrap_or_default().limit(least, LONGEST_WAIT)
+                self.answer_times.get(&reach).copied().unwrap_or_default().limit(least, MAX_HOME_TIMEOUT)
             }
             _ => policy.home,
         }
@@ -216,8 +216,8 @@
 
     /// Who was asked has nothing, or cannot be asked any more.
     pub(crate) fn ask_next(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
-        let source = match self.jobs.get(&id).map(|j| &j.stage) {
-            Some(Stage::Home(copy_request)) => self.after(copy_request.source),
+        let source = match self.jobs.get(&id).map(|job| &job.stage) {
+            Some(Stage::Home(copy_request)) => self.next_source(copy_request.source),
             _ => Source::Origin,
         };
         self.ask_source(now, id, source, out);
@@ -225,13 +225,13 @@
 
     /// Who was asked kept silent: the answer is still welcome, and somebody else is asked.
     pub(crate) fn skip_silent_home(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
-        let Some(j) = self.jobs.get_mut(&id) else { return };
-        let Stage::Home(copy_request) = j.stage else { return };
-        j.overdue.push(copy_request);
-        let homes = j.overdue.iter().filter(|i| i.source == copy_request.source).count() as u8;
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Stage::Home(copy_request) = job.stage else { return };
+        job.overdue.push(copy_request);
+        let homes = job.overdue.iter().filter(|i| i.source == copy_request.source).count() as u8;
         let widest = self.reaches().last().map(|r| Source::Home(*r));
-        let again = widest == Some(copy_request.source) && homes < WIDEST_HOMES;
-        self.mute.insert(copy_request.to, now + PASSED_OVER);
+        let again = widest == Some(copy_request.source) && homes < MAX_WIDEST_HOMES;
+        self.unresponsive.insert(copy_request.to, now + UNRESPONSIVE_COOLDOWN);
         self.count(if again { "silent region homes" } else { "mute homes" });
         if again {
             self.ask_source(now, id, copy_request.source, out);
@@ -242,9 +242,9 @@
 
     /// A purge came: what was answered before is not used, and the same one is asked again.
     pub(crate) fn restart_copy_request(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
-        let Some(j) = self.jobs.get_mut(&id) else { return };
-        j.overdue.clear();
-        let Stage::Home(copy_request) = j.stage else { return };
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        job.overdue.clear();
+        let Stage::Home(copy_request) = job.stage else { return };
         self.ask_source(now, id, copy_request.source, out);
     }
 }
--- a/crates/edge/src/table.rs
+++ b/crates/edge/src/table.rs
@@ -1,6 +1,6 @@
 //! What an edge routes by: an immutable snapshot, built anew and swapped whole.
 use crate::homes::Homes;
-use crate::route_table::Lanes;
+use crate::route_table::RouteTable;
 use control_state::*;
 use primitives::{Addr, Birth, NodeId, Version};
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
     pub roll_version: Version,
     pub shares: BTreeMap<Svc, Share>,
     /// By host and path.
-    pub paths: Lanes,
+    pub paths: RouteTable,
     pub entries: BTreeMap<Lane, Arc<LaneEntry>>,
     pub limits: Option<CallerLimits>,
 }
@@ -49,7 +49,7 @@
                     t.lanes.entry(l.clone()).or_default().push((s.clone(), r.clone()));
                     t.shares.entry(s.clone()).or_insert_with(|| share(items, s).expect("has this row"));
                 }
-                (Key::Entry(_, n), Some(Body::Lane(l))) => t.add_lane(n, l),
+                (Key::Entry(_, n), Some(Body::Lane(l))) => t.add_route(n, l),
                 (Key::Entry(_, n), Some(Body::Service(s))) => {
                     t.shares.insert(Svc(n.clone()), rate_share(items, s.rate));
                 }
@@ -87,7 +87,7 @@
         }
     }
 
-    fn add_lane(&mut self, name: &str, l: &LaneEntry) {
+    fn add_route(&mut self, name: &str, l: &LaneEntry) {
         self.paths.add(name, l);
         let row =
             |w: &u64| Row { weight: *w as u32, ceiling: u32::MAX, rank: l.rank, kind: l.kind, ttl: l.ttl };
@@ -102,7 +102,7 @@
     }
 
     /// The lane by which requests for that path of the site come now, if any.
-    pub fn lane_of(&self, site: &Site, path: &str) -> Option<Lane> {
+    pub fn route_of(&self, site: &Site, path: &str) -> Option<Lane> {
         let hostless = || Some(Lane(site.0.clone())).filter(|lane| !self.entries.contains_key(lane));
         self.paths.find(&site.0, path).cloned().or_else(hostless)
     }
@@ -112,11 +112,11 @@
         self.lanes.get(l)?.iter().map(|(_, r)| r.kind).max()
     }
 
-    /// One of the lane's services by weight; `spin` decides, evenly spread.
-    pub fn pick(&self, l: &Lane, spin: u64) -> Option<(Svc, Row)> {
+    /// One of the lane's services by weight; `selector` decides, evenly spread.
+    pub fn pick(&self, l: &Lane, selector: u64) -> Option<(Svc, Row)> {
         let rows = self.lanes.get(l)?;
         let sum: u64 = rows.iter().map(|(_, r)| r.weight as u64).sum();
-        let mut at = spin.checked_rem(sum)?;
+        let mut at = selector.checked_rem(sum)?;
         rows.iter()
             .find(|(_, r)| {
                 let here = at < r.weight as u64;
--- a/crates/edge/src/updates.rs
+++ b/crates/edge/src/updates.rs
@@ -9,7 +9,7 @@
     pub(crate) fn subscribe(&mut self, now: Mono, out: &mut Vec<Out>) {
         if self.follow.due(now) {
             let wants = self.wants(now);
-            self.follow.subscribe(now, &wants, self.press.epoch, out);
+            self.follow.subscribe(now, &wants, self.admission.epoch, out);
         }
     }
 
@@ -39,7 +39,7 @@
         }
         // Times of an earlier life's asking would make old beats and slices new.
         if let Some(r) = n.reply.as_ref().filter(|r| r.life == self.follow.env.life) {
-            self.take_beats(r);
+            self.record_heartbeats(r);
             self.accept_borrowed_tokens(now, from, r, out);
         }
         self.check_lapse(now);
@@ -75,6 +75,6 @@
     fn forget(&mut self) {
         self.copies.clear();
         self.fills.clear();
-        self.jobs.values_mut().for_each(|j| j.spoiled = true);
+        self.jobs.values_mut().for_each(|job| job.invalidated = true);
     }
 }
