--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -56,7 +56,7 @@
         let copy = self.copies.get(now, &object).filter(|_| self.leased(now));
         if let Some(c) = copy {
             let mark = mark(&self.follow.items, &object);
-            let shown = c.show(now, c.until);
+            let shown = c.to_transfer(now, c.until);
             out.push(Out::Send(
                 from,
                 Msg::DiskCachePut(at, Box::new(DiskCachePut { object, shown, mark, sure: self.follow.sure })),
@@ -109,7 +109,7 @@
         let lives_long = job.row.ttl >= MIN_DISK_CACHE_TTL;
         let stocked = copy_request.source == Source::Ledger;
         // A ledger has looked at its copy's mark itself.
-        let same_purges = stocked || purges == self.purges();
+        let same_purges = stocked || purges == self.current_purge_digest();
         // The copy's rest of life counts from when it was asked for.
         let lives = |left: Span| good && copy_request.asked + left > now;
         let lapsed_on_its_way = match &said {
@@ -118,7 +118,7 @@
             _ => false,
         };
         match said {
-            CopyReply::Got(c) if self.purged_tags.took(&c.whole.heads, copy_request.asked) => {
+            CopyReply::Got(c) if self.purged_tags.is_purged(&c.whole.heads, copy_request.asked) => {
                 self.count("purged on their way");
                 if current {
                     self.ask_source(now, id, copy_request.source, out);
--- a/crates/edge/src/claim.rs
+++ b/crates/edge/src/claim.rs
@@ -8,28 +8,33 @@
 pub(crate) struct Claim {
     pub round: RoundId,
     pub key: String,
-    pub print: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// The key's ledgers, for each set of the roll as it was when it was claimed.
-    pub named: Vec<Vec<Addr>>,
+    pub replica_sets: Vec<Vec<Addr>>,
     /// The version of that roll.
-    pub roll: Version,
+    pub ledger_sets_version: Version,
     /// Who had granted it when it was won.
     pub granted: BTreeSet<Addr>,
     /// When ledgers that keep silent are asked again.
-    pub ask_again: Backoff,
+    pub retry: Backoff,
 }
 
 impl Claim {
     pub fn ledgers(&self) -> BTreeSet<Addr> {
-        self.named.iter().flatten().copied().collect()
+        self.replica_sets.iter().flatten().copied().collect()
     }
     pub fn ask(&self, ledger: Addr) -> Out {
-        let (key, print, round, roll) = (self.key.clone(), self.print, self.round, self.roll);
+        let (key, print, round, roll) =
+            (self.key.clone(), self.fingerprint, self.round, self.ledger_sets_version);
         Out::Send(ledger, Msg::Claim { key, print, round, roll })
     }
     /// A quorum granted it, in every set.
     pub fn won(&self, votes: &BTreeMap<Addr, Claimed>, losses: usize) -> bool {
-        let yes = |a: &&Addr| votes.get(a) == Some(&Claimed::Granted);
-        !self.named.is_empty() && self.named.iter().all(|n| n.iter().filter(yes).count() >= quorum(losses))
+        let granted = |a: &&Addr| votes.get(a) == Some(&Claimed::Granted);
+        !self.replica_sets.is_empty()
+            && self
+                .replica_sets
+                .iter()
+                .all(|replicas| replicas.iter().filter(granted).count() >= quorum(losses))
     }
 }
--- a/crates/edge/src/copies.rs
+++ b/crates/edge/src/copies.rs
@@ -25,8 +25,8 @@
         self.until
     }
     fn kept(&self) -> Mono {
-        let tagged = self.whole.heads.has("etag");
-        if tagged {
+        let has_etag = self.whole.heads.has("etag");
+        if has_etag {
             self.until + REVALIDATION_RETENTION
         } else {
             self.until
@@ -41,7 +41,7 @@
 }
 
 impl Copy {
-    pub fn show(&self, now: Mono, until: Mono) -> TransferredCopy {
+    pub fn to_transfer(&self, now: Mono, until: Mono) -> TransferredCopy {
         let (whole, current_age) = ((*self.whole).clone(), now - self.since);
         TransferredCopy { whole, left: until - now, current_age, public: self.public }
     }
--- a/crates/edge/src/expiry.rs
+++ b/crates/edge/src/expiry.rs
@@ -13,7 +13,7 @@
             let Some(job) = self.jobs.get(&id) else { continue };
             let waited = now - job.stage_since;
             match &job.stage {
-                Stage::Queued | Stage::Home(..) | Stage::Claim(_) if now >= job.by => {
+                Stage::Queued | Stage::Home(..) | Stage::Claim(_) if now >= job.deadline => {
                     self.deny(now, id, Denied::Ceiling, out);
                 }
                 Stage::Home(copy_request) if waited > self.copy_request_timeout(copy_request) => {
@@ -35,7 +35,7 @@
     fn expire_callers(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         let until = |job: &Job, c: &Waiting| match job.stage {
             Stage::Queued => job.queue_deadline(c),
-            Stage::Home(_) | Stage::Claim(_) => c.by,
+            Stage::Home(_) | Stage::Claim(_) => c.deadline,
             Stage::Out(..) => Mono(u64::MAX),
         };
         self.deny_callers(now, id, |job, c| now >= until(job, c), out);
--- a/crates/edge/src/job.rs
+++ b/crates/edge/src/job.rs
@@ -20,7 +20,7 @@
     pub caller: Caller,
     pub since: Mono,
     pub queue_deadline: Mono,
-    pub by: Mono,
+    pub deadline: Mono,
 }
 
 #[derive(Debug)]
@@ -67,13 +67,13 @@
     /// Keyed only. Invariant: nothing leaves after this, however long we froze.
     pub send_deadline: Mono,
     /// Served in time until then.
-    pub due: Mono,
+    pub target_deadline: Mono,
     /// Given up after this: the latest of its callers'.
-    pub by: Mono,
+    pub deadline: Mono,
     /// Origins it may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Rounds that origins say they did not run.
-    pub refused: u32,
+    pub refused_attempts: u32,
 }
 
 impl Job {
@@ -83,7 +83,7 @@
 
     /// It is worked on for as long as any of its callers waits.
     pub fn join(&mut self, callers: &[Waiting]) {
-        self.by = callers.iter().map(|c| c.by).fold(self.by, Mono::max);
+        self.deadline = callers.iter().map(|c| c.deadline).fold(self.deadline, Mono::max);
         self.callers.extend(callers.iter().cloned());
     }
 
--- a/crates/edge/src/jobs.rs
+++ b/crates/edge/src/jobs.rs
@@ -13,17 +13,19 @@
 pub(crate) const CLAIM_TIMEOUT: Span = Span::ms(400);
 
 impl Edge {
-    pub(crate) fn begin(&mut self, now: Mono, t: Token, req: CallerRequest, out: &mut Vec<Out>) {
+    pub(crate) fn begin(&mut self, now: Mono, token: Token, req: CallerRequest, out: &mut Vec<Out>) {
         self.count("requests");
-        self.dispatch(now, t, Arc::new(req), out);
+        self.dispatch(now, token, Arc::new(req), out);
     }
 
-    pub(crate) fn dispatch(&mut self, now: Mono, t: Token, req: Arc<CallerRequest>, out: &mut Vec<Out>) {
-        let caller = Caller::Local(t, req.clone());
+    pub(crate) fn dispatch(&mut self, now: Mono, token: Token, req: Arc<CallerRequest>, out: &mut Vec<Out>) {
+        let caller = Caller::Local(token, req.clone());
         match self.admit(now, (*req).clone()) {
-            Err(d) => self.answer_caller(now, &caller, Step::Deny(d, self.retry_after(d)), out),
+            Err(reason) => {
+                self.answer_caller(now, &caller, Step::Deny(reason, self.retry_after(reason)), out)
+            }
             Ok(mut job) => {
-                job.callers.push(Waiting::new(caller, now, job.by));
+                job.callers.push(Waiting::new(caller, now, job.deadline));
                 match job.kind {
                     Kind::Read => self.read(now, job, out),
                     Kind::Plain | Kind::Once => {
@@ -37,12 +39,12 @@
 
     /// A job for the request, or why it is denied.
     pub(crate) fn admit(&mut self, now: Mono, req: CallerRequest) -> Result<Job, Denied> {
-        let require = |ok: bool, d: Denied| ok.then_some(()).ok_or(d);
+        let require = |ok: bool, reason: Denied| ok.then_some(()).ok_or(reason);
         require(!self.drained(now), Denied::Leaving)?;
         require(self.leased(now), Denied::NoLease)?;
         require(self.jobs.len() < self.env.hands.1, Denied::TooMany)?;
-        let found = |h: &String| self.table.paths.find(h, &req.path).cloned();
-        let lane = req.host.as_ref().map_or(Some(req.lane.clone()), found).ok_or(Denied::NoLane)?;
+        let find_route = |host: &String| self.table.paths.find(host, &req.path).cloned();
+        let lane = req.host.as_ref().map_or(Some(req.lane.clone()), find_route).ok_or(Denied::NoLane)?;
         let req = CallerRequest { lane, ..req };
         let kind = self.table.kind(&req.lane).ok_or(Denied::NoLane)?;
         let entry = self.table.entries.get(&req.lane).cloned();
@@ -57,10 +59,10 @@
         };
         let (svc, row) = self.table.pick(&req.lane, selector).ok_or(Denied::NoOrigin)?;
         // One service that hangs leaves room for the others.
-        let held = self.jobs.values().filter(|job| job.svc == svc).count();
-        let most = entry.as_ref().map_or(self.env.patience, |e| e.timeout);
-        let by = now + req.left.map_or(most, |l| l.min(most));
-        require(held < self.env.hands.0, Denied::TooMany)?;
+        let in_flight = self.jobs.values().filter(|job| job.svc == svc).count();
+        let max_wait = entry.as_ref().map_or(self.env.patience, |e| e.timeout);
+        let deadline = now + req.left.map_or(max_wait, |left| left.min(max_wait));
+        require(in_flight < self.env.hands.0, Denied::TooMany)?;
         Ok(Job {
             site: self.table.site(&req.lane),
             req,
@@ -80,17 +82,17 @@
             overdue: vec![],
             claim: None,
             send_deadline: Mono(u64::MAX),
-            due: now + entry.as_ref().map_or(DEFAULT_LATENCY_TARGET, |e| e.aim),
-            by,
-            attempts: entry.map_or(3, |e| e.attempts),
-            refused: 0,
+            target_deadline: now + entry.as_ref().map_or(DEFAULT_LATENCY_TARGET, |e| e.aim),
+            deadline,
+            max_attempts: entry.map_or(3, |e| e.attempts),
+            refused_attempts: 0,
         })
     }
 
-    pub(crate) fn answer_caller(&mut self, now: Mono, c: &Caller, s: Step, out: &mut Vec<Out>) {
-        match (c, s) {
-            (Caller::Local(t, _), s) => {
-                let name = match &s {
+    pub(crate) fn answer_caller(&mut self, now: Mono, caller: &Caller, step: Step, out: &mut Vec<Out>) {
+        match (caller, step) {
+            (Caller::Local(token, _), step) => {
+                let counter = match &step {
                     Step::Serve(_, AnswerSource::Copy(_), _) => "served from copies",
                     Step::Serve(_, AnswerSource::Own, _) => "not to be passed on",
                     Step::Serve(_, AnswerSource::Record, _) => "served from records",
@@ -98,15 +100,15 @@
                     Step::Deny(..) => "denied",
                     Step::OutcomeUnknown(_) => "in doubt",
                 };
-                self.count(name);
-                if let Step::Deny(reason, _) = &s {
+                self.count(counter);
+                if let Step::Deny(reason, _) = &step {
                     self.metrics.note_denial(*reason);
                 }
-                out.push(Out::Tell(*t, NodeReply::Step(s)));
+                out.push(Out::Tell(*token, NodeReply::Step(step)));
             }
-            (Caller::Edge(a, ask), s) => {
-                let shown = |w: &Arc<Whole>, until, current_age| {
-                    let whole = w.kept();
+            (Caller::Edge(addr, ask), step) => {
+                let transferred = |response: &Arc<Whole>, until, current_age| {
+                    let whole = response.kept();
                     CopyReply::Got(Box::new(TransferredCopy {
                         whole,
                         left: until - now,
@@ -114,47 +116,47 @@
                         public: false,
                     }))
                 };
-                let said = match s {
-                    Step::Serve(w, AnswerSource::Own, _) => CopyReply::Own(Box::new(w.kept())),
+                let reply = match step {
+                    Step::Serve(response, AnswerSource::Own, _) => CopyReply::Own(Box::new(response.kept())),
                     // The time that an answer may be on its way out is no part of a copy's life.
-                    Step::Serve(w, AnswerSource::Copy(current_age), until) => {
-                        shown(&w, until - DELIVERY_MARGIN, current_age)
+                    Step::Serve(response, AnswerSource::Copy(current_age), until) => {
+                        transferred(&response, until - DELIVERY_MARGIN, current_age)
                     }
-                    Step::Serve(w, _, until) => shown(&w, until, Span(0)),
+                    Step::Serve(response, _, until) => transferred(&response, until, Span(0)),
                     Step::Deny(Denied::Ceiling, _) => CopyReply::AtCeiling,
                     _ => CopyReply::None,
                 };
-                out.push(self.copy_result(*a, *ask, said));
+                out.push(self.copy_result(*addr, *ask, reply));
             }
         }
     }
 
     /// The job's last word, to all who wait for it.
-    pub(crate) fn finish(&mut self, now: Mono, id: u64, s: Step, out: &mut Vec<Out>) {
+    pub(crate) fn finish(&mut self, now: Mono, id: u64, step: Step, out: &mut Vec<Out>) {
         if let Some(job) = self.jobs.remove(&id) {
             self.metrics.note_wait(&job.stage, now - job.stage_since);
             if self.fills.get(&job.object()) == Some(&id) {
                 self.fills.remove(&job.object());
             }
-            if matches!(s, Step::Deny(..)) {
+            if matches!(step, Step::Deny(..)) {
                 self.release(&job, out);
             }
-            job.callers.iter().for_each(|c| self.answer_caller(now, &c.caller, s.clone(), out));
+            job.callers.iter().for_each(|c| self.answer_caller(now, &c.caller, step.clone(), out));
         }
     }
 
     /// Denied means that nothing went out; after a try that did, it is doubt.
-    pub(crate) fn deny(&mut self, now: Mono, id: u64, d: Denied, out: &mut Vec<Out>) {
-        let s = self.denial(id, d);
-        self.finish(now, id, s, out);
+    pub(crate) fn deny(&mut self, now: Mono, id: u64, reason: Denied, out: &mut Vec<Out>) {
+        let step = self.denial(id, reason);
+        self.finish(now, id, step, out);
     }
 
-    pub(crate) fn denial(&self, id: u64, d: Denied) -> Step {
+    pub(crate) fn denial(&self, id: u64, reason: Denied) -> Step {
         let sent = self.jobs.get(&id).is_some_and(|job| job.sent_attempts > 0);
         if sent {
-            Step::OutcomeUnknown(self.retry_after(d))
+            Step::OutcomeUnknown(self.retry_after(reason))
         } else {
-            Step::Deny(d, self.retry_after(d))
+            Step::Deny(reason, self.retry_after(reason))
         }
     }
 }
--- a/crates/edge/src/keyed.rs
+++ b/crates/edge/src/keyed.rs
@@ -19,36 +19,44 @@
     /// must have lost theirs by then.
     pub(crate) fn claim(&mut self, now: Mono, mut job: Job, out: &mut Vec<Out>) {
         if self.follow.lease_quorum_until() + CLAIM_GRACE <= now {
-            let c = job.callers.remove(0).caller;
-            let back = self.retry_after(Denied::NoLease);
-            return self.answer_caller(now, &c, Step::Deny(Denied::NoLease, back), out);
+            let caller = job.callers.remove(0).caller;
+            let retry_after = self.retry_after(Denied::NoLease);
+            return self.answer_caller(now, &caller, Step::Deny(Denied::NoLease, retry_after), out);
         }
         // Lanes of a host come, go and are renamed while their callers' keys stay the same.
         let key = format!("{}/{}", job.site.0, job.req.key.as_deref().unwrap_or(""));
-        let print = Fingerprint::of(&job.req.method, &job.req.path, &job.req.heads, &job.req.body);
-        let n = self.number();
-        let round = RoundId { node: self.follow.env.id, birth: self.follow.env.birth, n };
-        let named = self.table.roll.named(&key, self.env.losses);
-        let roll = self.table.roll_version;
-        let ask_again = Backoff::new(now, CLAIM_RETRY_DELAYS.0, CLAIM_RETRY_DELAYS.1);
-        let c = Claim { round, key, print, named, roll, granted: BTreeSet::new(), ask_again };
-        out.extend(c.ledgers().into_iter().map(|a| c.ask(a)));
-        job.claim = Some(c);
+        let fingerprint = Fingerprint::of(&job.req.method, &job.req.path, &job.req.heads, &job.req.body);
+        let id = self.number();
+        let round = RoundId { node: self.follow.env.id, birth: self.follow.env.birth, n: id };
+        let replica_sets = self.table.ledger_sets.named(&key, self.env.losses);
+        let ledger_sets_version = self.table.ledger_sets_version;
+        let retry = Backoff::new(now, CLAIM_RETRY_DELAYS.0, CLAIM_RETRY_DELAYS.1);
+        let claim = Claim {
+            round,
+            key,
+            fingerprint,
+            replica_sets,
+            ledger_sets_version,
+            granted: BTreeSet::new(),
+            retry,
+        };
+        out.extend(claim.ledgers().into_iter().map(|a| claim.ask(a)));
+        job.claim = Some(claim);
         job.send_deadline = now + self.env.leave;
         job.stage = Stage::Claim(BTreeMap::new());
         job.stage_since = now;
-        self.jobs.insert(n, job);
+        self.jobs.insert(id, job);
         self.count("claims");
-        self.count_votes(now, n, false, out);
+        self.count_votes(now, id, false, out);
     }
 
     /// A claim or its answer may be lost with a link; asking again changes nothing.
     pub(crate) fn retry_claim(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let (Stage::Claim(votes), Some(c)) = (&job.stage, &mut job.claim) else { return };
-        if c.ask_again.due(now) {
-            let silent = c.ledgers().into_iter().filter(|a| !votes.contains_key(a));
-            out.extend(silent.map(|a| c.ask(a)));
+        let (Stage::Claim(votes), Some(claim)) = (&job.stage, &mut job.claim) else { return };
+        if claim.retry.due(now) {
+            let silent = claim.ledgers().into_iter().filter(|a| !votes.contains_key(a));
+            out.extend(silent.map(|a| claim.ask(a)));
         }
     }
 
@@ -60,15 +68,15 @@
         now: Mono,
         from: Addr,
         round: RoundId,
-        said: Claimed,
+        vote: Claimed,
         out: &mut Vec<Out>,
     ) {
         let Some(id) = self.own_round(round) else { return };
         let Some(job) = self.jobs.get_mut(&id) else { return self.count(UNEXPECTED_ANSWER) };
-        let asked = job.claim.as_ref().is_some_and(|c| c.round == round && c.ledgers().contains(&from));
+        let expected = job.claim.as_ref().is_some_and(|c| c.round == round && c.ledgers().contains(&from));
         match &mut job.stage {
-            Stage::Claim(votes) if asked => {
-                votes.insert(from, said);
+            Stage::Claim(votes) if expected => {
+                votes.insert(from, vote);
                 self.count_votes(now, id, false, out);
             }
             _ => self.count(UNEXPECTED_ANSWER),
@@ -78,28 +86,31 @@
     pub(crate) fn count_votes(&mut self, now: Mono, id: u64, late: bool, out: &mut Vec<Out>) {
         let Some(job) = self.jobs.get(&id) else { return };
         let (Stage::Claim(votes), Some(claim)) = (&job.stage, &job.claim) else { return };
-        let known = votes.values().find_map(|v| match v {
-            Claimed::Held(Some(w)) => Some(w.clone()),
+        let recorded = votes.values().find_map(|v| match v {
+            Claimed::Held(Some(response)) => Some(response.clone()),
             _ => None,
         });
-        let reused = votes.values().any(|v| *v == Claimed::PayloadMismatch);
+        let mismatch = votes.values().any(|v| *v == Claimed::PayloadMismatch);
         let held = votes.values().any(|v| matches!(v, Claimed::Held(None)));
         let all = votes.len() >= claim.ledgers().len();
-        if reused {
+        if mismatch {
             self.deny(now, id, Denied::KeyReused, out);
-        } else if let Some(w) = known {
+        } else if let Some(response) = recorded {
             self.release_job(id, out);
-            let s =
-                Step::Serve(std::sync::Arc::new(w.without_holders()), AnswerSource::Record, Mono(u64::MAX));
-            self.finish(now, id, s, out);
+            let step = Step::Serve(
+                std::sync::Arc::new(response.without_holders()),
+                AnswerSource::Record,
+                Mono(u64::MAX),
+            );
+            self.finish(now, id, step, out);
         } else if claim.won(votes, self.env.losses) {
             self.record_grants(id);
             self.enqueue_job(now, id, out);
         } else if held && (all || late) {
             // Another round has the key and its outcome is not known (yet).
             self.release_job(id, out);
-            let at_work = self.jobs.get(&id).is_some_and(|job| job.req.host.is_some());
-            if at_work {
+            let has_host = self.jobs.get(&id).is_some_and(|job| job.req.host.is_some());
+            if has_host {
                 return self.deny(now, id, Denied::KeyAtWork, out);
             }
             self.finish(now, id, Step::OutcomeUnknown(Span::secs(1)), out);
@@ -112,8 +123,8 @@
         let Some(Job { stage: Stage::Claim(votes), claim: Some(c), .. }) = self.jobs.get_mut(&id) else {
             return;
         };
-        let yes = votes.iter().filter(|(_, said)| **said == Claimed::Granted);
-        c.granted = yes.map(|(a, _)| *a).collect();
+        let grants = votes.iter().filter(|(_, vote)| **vote == Claimed::Granted);
+        c.granted = grants.map(|(a, _)| *a).collect();
     }
 
     fn release_job(&mut self, id: u64, out: &mut Vec<Out>) {
@@ -126,56 +137,63 @@
     /// The round will never be sent: its key is free again.
     pub(crate) fn release(&mut self, job: &Job, out: &mut Vec<Out>) {
         if let Some(c) = job.claim.as_ref().filter(|_| job.sent_attempts == 0) {
-            let free = |a| Out::Send(a, Msg::Release { key: c.key.clone(), round: c.round });
-            out.extend(self.holders(c).into_iter().map(free));
+            let release = |a| Out::Send(a, Msg::Release { key: c.key.clone(), round: c.round });
+            out.extend(self.holders(c).into_iter().map(release));
         }
     }
 
     /// It ran: the outcome goes to the key's ledgers and to the caller.
-    pub(crate) fn finish_keyed(&mut self, now: Mono, id: u64, w: Whole, s: Step, out: &mut Vec<Out>) {
+    pub(crate) fn finish_keyed(
+        &mut self,
+        now: Mono,
+        id: u64,
+        response: Whole,
+        step: Step,
+        out: &mut Vec<Out>,
+    ) {
         let claim = self.jobs.get(&id).and_then(|job| job.claim.clone());
         if let Some(c) = claim {
             let ledgers = self.rank_outcome_holders(&c);
-            let Claim { round, key, print, .. } = c;
-            let of = KeyedRound { key, print, round };
-            let outcome_deliveries = if self.env.policy.near {
+            let Claim { round, key, fingerprint, .. } = c;
+            let of = KeyedRound { key, fingerprint, round };
+            let delivery = if self.env.policy.near {
                 // On one disk more than may be lost at once.
-                OutcomeDelivery::new(now, of, w, ledgers, self.env.losses + 1)
+                OutcomeDelivery::new(now, of, response, ledgers, self.env.losses + 1)
             } else {
-                OutcomeDelivery::to_all(now, of, w, ledgers)
+                OutcomeDelivery::to_all(now, of, response, ledgers)
             };
-            outcome_deliveries.send(out);
-            self.outcome_deliveries.push(outcome_deliveries);
+            delivery.send(out);
+            self.outcome_deliveries.push(delivery);
         }
-        self.finish(now, id, s, out);
+        self.finish(now, id, step, out);
     }
 
     /// All ledgers that may hold the grant: those it was claimed from, and those that
     /// took it over because the set has changed since.
     fn holders(&self, c: &Claim) -> BTreeSet<Addr> {
-        let now = self.table.roll.named(&c.key, self.env.losses);
-        c.ledgers().into_iter().chain(now.into_iter().flatten()).collect()
+        let current = self.table.ledger_sets.named(&c.key, self.env.losses);
+        c.ledgers().into_iter().chain(current.into_iter().flatten()).collect()
     }
 
     /// Who may keep the outcome, the first choices last: the key's ledgers, those that granted it
     /// before others, of them those of the newest set, and of them the nearest.
     fn rank_outcome_holders(&self, c: &Claim) -> Vec<Holder> {
-        let newest = self.table.roll.named(&c.key, self.env.losses).pop().unwrap_or_default();
+        let newest = self.table.ledger_sets.named(&c.key, self.env.losses).pop().unwrap_or_default();
         let here = &self.follow.env.zone;
         let known = |a: &Addr| self.table.ledgers.iter().find(|l| l.addr == *a);
-        let near = |a: &Addr| {
+        let proximity = |a: &Addr| {
             let zone = known(a).map(|l| &l.zone);
             zone.map(|z| (z.region() == here.region(), z == here)).unwrap_or_default()
         };
-        let mut all: Vec<Addr> = self.holders(c).into_iter().collect();
-        all.sort_by_key(|a| (c.granted.contains(a), newest.contains(a), near(a)));
+        let mut holders: Vec<Addr> = self.holders(c).into_iter().collect();
+        holders.sort_by_key(|a| (c.granted.contains(a), newest.contains(a), proximity(a)));
         let birth = |a: &Addr| known(a).map_or(Birth(0), |l| l.birth);
-        all.into_iter().map(|addr| Holder { addr, birth: birth(&addr) }).collect()
+        holders.into_iter().map(|addr| Holder { addr, birth: birth(&addr) }).collect()
     }
 
     pub(crate) fn push_outcomes(&mut self, now: Mono, out: &mut Vec<Out>) {
-        self.outcome_deliveries.iter_mut().for_each(|o| o.push(now, out));
-        self.outcome_deliveries.retain(|o| !o.is_over(now));
+        self.outcome_deliveries.iter_mut().for_each(|delivery| delivery.push(now, out));
+        self.outcome_deliveries.retain(|delivery| !delivery.is_over(now));
     }
 
     pub(crate) fn on_outcome_stored(&mut self, now: Mono, from: Addr, round: RoundId) {
@@ -183,6 +201,6 @@
             return;
         }
         self.outcome_deliveries.iter_mut().filter(|o| o.of.round == round).for_each(|o| o.note_stored(from));
-        self.outcome_deliveries.retain(|o| !o.is_over(now));
+        self.outcome_deliveries.retain(|delivery| !delivery.is_over(now));
     }
 }
--- a/crates/edge/src/purged_tags.rs
+++ b/crates/edge/src/purged_tags.rs
@@ -25,7 +25,7 @@
     }
 
     /// Whether what was asked for then may be older than a purge of one of its tags.
-    pub(crate) fn took(&self, heads: &Headers, asked: Mono) -> bool {
+    pub(crate) fn is_purged(&self, heads: &Headers, asked: Mono) -> bool {
         tags(heads).any(|tag| self.last.get(tag).is_some_and(|purged| *purged >= asked))
     }
 
--- a/crates/edge/src/queue.rs
+++ b/crates/edge/src/queue.rs
@@ -28,7 +28,7 @@
     }
 
     fn queue_position(&self, now: Mono) -> QueuePosition {
-        QueuePosition { rank: self.row.rank, late: now >= self.due, since: self.stage_since }
+        QueuePosition { rank: self.row.rank, late: now >= self.target_deadline, since: self.stage_since }
     }
 
     /// Until when a caller of it waits in line. What was sent once may wait again.
@@ -36,7 +36,7 @@
         if self.sent_attempts == 0 {
             caller.queue_deadline
         } else {
-            queue_deadline_for(self.stage_since, caller.by)
+            queue_deadline_for(self.stage_since, caller.deadline)
         }
     }
 
@@ -47,23 +47,23 @@
 
     /// How long its callers wait yet.
     pub(crate) fn patience(&self, now: Mono) -> Patience {
-        Patience { in_line: self.latest_queue_deadline() - now, left: self.by - now }
+        Patience { in_line: self.latest_queue_deadline() - now, left: self.deadline - now }
     }
 }
 
-fn queue_deadline_for(since: Mono, by: Mono) -> Mono {
-    since + Span((by - since).0 * MAX_QUEUE_TIME_PERCENT / 100)
+fn queue_deadline_for(since: Mono, deadline: Mono) -> Mono {
+    since + Span((deadline - since).0 * MAX_QUEUE_TIME_PERCENT / 100)
 }
 
 impl Waiting {
     /// Of this edge's own.
-    pub(crate) fn new(caller: Caller, since: Mono, by: Mono) -> Waiting {
-        Waiting { caller, since, queue_deadline: queue_deadline_for(since, by), by }
+    pub(crate) fn new(caller: Caller, since: Mono, deadline: Mono) -> Waiting {
+        Waiting { caller, since, queue_deadline: queue_deadline_for(since, deadline), deadline }
     }
 
     /// Of another edge's, as it said.
     pub(crate) fn of_edge(caller: Caller, since: Mono, patience: Patience) -> Waiting {
-        Waiting { caller, since, queue_deadline: since + patience.in_line, by: since + patience.left }
+        Waiting { caller, since, queue_deadline: since + patience.in_line, deadline: since + patience.left }
     }
 }
 
--- a/crates/edge/src/read.rs
+++ b/crates/edge/src/read.rs
@@ -64,7 +64,7 @@
 
     /// An answer to a question for a copy.
     pub(crate) fn copy_result(&mut self, to: Addr, ask: RequestId, said: CopyReply) -> Out {
-        Out::Send(to, Msg::CopyResult { ask, said, purges: self.purges() })
+        Out::Send(to, Msg::CopyResult { ask, said, purges: self.current_purge_digest() })
     }
 
     pub(crate) fn on_copy_query(
@@ -82,7 +82,7 @@
         }
         // By the lane that leads to it now: the asker may go by an older configuration, or a newer.
         let lane = self.table.route_of(&obj.site, &obj.path).unwrap_or_default();
-        let rows = self.table.lanes.get(&lane).cloned().unwrap_or_default();
+        let rows = self.table.routes.get(&lane).cloned().unwrap_or_default();
         let ttl = rows.iter().find(|(s, _)| *s == obj.service).map_or(Span(0), |(_, r)| r.ttl);
         let held = self.copies.get(now, &obj).filter(|c| now - c.since < ttl).cloned();
         if let Some(c) = held {
@@ -91,7 +91,7 @@
             let said = if same {
                 CopyReply::Same { left: until - now, current_age: now - c.since }
             } else {
-                CopyReply::Got(Box::new(c.show(now, until)))
+                CopyReply::Got(Box::new(c.to_transfer(now, until)))
             };
             return out.push(self.copy_result(from, ask, said));
         }
--- a/crates/edge/src/rounds.rs
+++ b/crates/edge/src/rounds.rs
@@ -63,8 +63,8 @@
             birth: o.birth,
             tag: o.tag,
             until: fresh.min(lease).min(token).min(leave),
-            answer_deadline: self.jobs.get(&id).map_or(now, |job| job.by),
-            extra: self.jobs.get(&id).is_some_and(|job| job.sent_attempts + job.refused > 0),
+            answer_deadline: self.jobs.get(&id).map_or(now, |job| job.deadline),
+            extra: self.jobs.get(&id).is_some_and(|job| job.sent_attempts + job.refused_attempts > 0),
             req,
         };
         self.rounds.insert(n, id);
@@ -95,8 +95,8 @@
                 }
             }
             FetchOutcome::Refused | FetchOutcome::WrongIncarnation => {
-                job.refused += 1;
-                let more = job.refused + job.sent_attempts < job.attempts;
+                job.refused_attempts += 1;
+                let more = job.refused_attempts + job.sent_attempts < job.max_attempts;
                 self.note_failure(now, r.addr, r.birth);
                 if more && self.take_retry_token(now, &r.svc) {
                     self.count("extra tries");
@@ -125,7 +125,7 @@
             FetchOutcome::Whole(w) => {
                 job.sent_attempts += 1;
                 let (kind, safe, invalidated) = (job.kind, job.safe(), job.invalidated);
-                let invalidated = invalidated || self.purged_tags.took(&w.heads, sent);
+                let invalidated = invalidated || self.purged_tags.is_purged(&w.heads, sent);
                 self.note_latency(r.addr, r.birth, now - sent);
                 let failed = w.status >= 500;
                 let s = Step::Serve(Arc::new(w.clone()), AnswerSource::Origin, Mono(u64::MAX));
@@ -151,8 +151,8 @@
     /// Another round if that does no harm and the budget has one, else `last`.
     pub(crate) fn retry_or(&mut self, now: Mono, id: u64, safe: bool, last: Step, out: &mut Vec<Out>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let (svc, few) = (job.svc.clone(), job.sent_attempts + job.refused < job.attempts);
-        let late = now >= job.by;
+        let (svc, few) = (job.svc.clone(), job.sent_attempts + job.refused_attempts < job.max_attempts);
+        let late = now >= job.deadline;
         if safe && few && !late && self.take_retry_token(now, &svc) {
             self.count("extra tries");
             self.jobs.entry(id).and_modify(|job| job.invalidated = false);
--- a/crates/edge/src/route_table.rs
+++ b/crates/edge/src/route_table.rs
@@ -9,17 +9,17 @@
 }
 
 impl RouteTable {
-    pub fn add(&mut self, name: &str, e: &LaneEntry) {
-        let host = self.by_host.entry(e.host.to_ascii_lowercase()).or_default();
-        host.insert(e.prefix.clone(), Lane(name.to_string()));
+    pub fn add(&mut self, name: &str, entry: &LaneEntry) {
+        let host = self.by_host.entry(entry.host.to_ascii_lowercase()).or_default();
+        host.insert(entry.prefix.clone(), Lane(name.to_string()));
     }
 
     /// The lane with the longest prefix that begins the path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Lane> {
-        let bare = path.split('?').next().unwrap_or(path);
-        let name = host.rsplit_once(':').map_or(host, |(h, _)| h).to_ascii_lowercase();
-        let lanes = self.by_host.get(&name)?;
-        let ends = bare.char_indices().filter(|(_, c)| *c == '/').map(|(i, _)| i);
-        ends.collect::<Vec<_>>().into_iter().rev().find_map(|i| lanes.get(&bare[..=i]))
+        let path_only = path.split('?').next().unwrap_or(path);
+        let host = host.rsplit_once(':').map_or(host, |(h, _)| h).to_ascii_lowercase();
+        let routes = self.by_host.get(&host)?;
+        let slashes = path_only.char_indices().filter(|(_, c)| *c == '/').map(|(i, _)| i);
+        slashes.collect::<Vec<_>>().into_iter().rev().find_map(|i| routes.get(&path_only[..=i]))
     }
 }
