--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -25,7 +25,7 @@
     }
 
     /// The number of the question, if this very life asked it.
-    pub(crate) fn own_number(&mut self, ask: RequestId) -> Option<u64> {
+    pub(crate) fn own_request(&mut self, ask: RequestId) -> Option<u64> {
         if ask.birth != self.follow.env.birth {
             self.count(OTHER_INCARNATION);
             return None;
@@ -39,7 +39,7 @@
             self.count(OTHER_INCARNATION);
             return None;
         }
-        self.own_number(RequestId { birth: round.birth, n: round.n })
+        self.own_request(RequestId { birth: round.birth, n: round.n })
     }
 
     /// A ledger takes the copy: with what is left of its life at this moment.
@@ -51,12 +51,12 @@
         at: Mono,
         out: &mut Vec<Out>,
     ) {
-        let Some(n) = self.own_number(ask) else { return };
-        let Some(object) = self.offers.remove(&n) else { return self.count(UNEXPECTED_ANSWER) };
+        let Some(id) = self.own_request(ask) else { return };
+        let Some(object) = self.disk_cache_offers.remove(&id) else { return self.count(UNEXPECTED_ANSWER) };
         let copy = self.copies.get(now, &object).filter(|_| self.leased(now));
-        if let Some(c) = copy {
+        if let Some(copy) = copy {
             let mark = mark(&self.follow.items, &object);
-            let shown = c.to_transfer(now, c.until);
+            let shown = copy.to_transfer(now, copy.until);
             out.push(Out::Send(
                 from,
                 Msg::DiskCachePut(at, Box::new(DiskCachePut { object, shown, mark, sure: self.follow.sure })),
@@ -65,59 +65,62 @@
     }
 
     pub(crate) fn on_copy_pending(&mut self, now: Mono, from: Addr, ask: RequestId) {
-        let Some(id) = self.own_number(ask) else { return };
-        let Some((copy_request, _)) = self.answered(id, from) else { return self.count(UNEXPECTED_ANSWER) };
+        let Some(id) = self.own_request(ask) else { return };
+        let Some((copy_request, _)) = self.find_copy_request(id, from) else {
+            return self.count(UNEXPECTED_ANSWER);
+        };
         self.note_answer_time(now, &copy_request);
         self.unresponsive.remove(&from);
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let open = job.overdue.iter_mut().find(|i| i.to == from);
+        let overdue = job.overdue.iter_mut().find(|request| request.to == from);
         let current = if let Stage::Home(copy_request) = &mut job.stage { Some(copy_request) } else { None };
-        let same = current.filter(|i| i.to == from).or(open);
-        same.into_iter().for_each(|i| i.last_progress_at = Some(now));
+        let matching = current.filter(|request| request.to == from).or(overdue);
+        matching.into_iter().for_each(|request| request.last_progress_at = Some(now));
     }
 
     /// The question of a job that this answers, if it still waits for it: the last one, or an
     /// earlier one that was overdue.
-    fn answered(&self, id: u64, from: Addr) -> Option<(CopyRequest, bool)> {
+    fn find_copy_request(&self, id: u64, from: Addr) -> Option<(CopyRequest, bool)> {
         let job = self.jobs.get(&id)?;
         let current = match job.stage {
             Stage::Home(copy_request) if copy_request.to == from => Some((copy_request, true)),
             _ => None,
         };
-        let waits = matches!(job.stage, Stage::Home(_) | Stage::Queued);
-        let overdue = job.overdue.iter().find(|i| i.to == from).filter(|_| waits);
-        current.or(overdue.map(|i| (*i, false)))
+        let is_waiting = matches!(job.stage, Stage::Home(_) | Stage::Queued);
+        let overdue = job.overdue.iter().find(|request| request.to == from).filter(|_| is_waiting);
+        current.or(overdue.map(|request| (*request, false)))
     }
 
     pub(crate) fn on_copy_result(
         &mut self,
         now: Mono,
         (from, ask): (Addr, RequestId),
-        said: CopyReply,
+        reply: CopyReply,
         purges: u64,
         out: &mut Vec<Out>,
     ) {
-        let Some(id) = self.own_number(ask) else { return };
-        let Some((copy_request, current)) = self.answered(id, from) else {
+        let Some(id) = self.own_request(ask) else { return };
+        let Some((copy_request, current)) = self.find_copy_request(id, from) else {
             return self.count(UNEXPECTED_ANSWER);
         };
         self.note_answer_time(now, &copy_request);
         // It is slow, not gone.
         self.unresponsive.remove(&from);
         let Some(job) = self.jobs.get(&id) else { return };
-        let (good, object, lane) = (!job.invalidated && self.leased(now), job.object(), job.req.lane.clone());
-        let lives_long = job.row.ttl >= MIN_DISK_CACHE_TTL;
-        let stocked = copy_request.source == Source::Ledger;
+        let (usable, object, route) =
+            (!job.invalidated && self.leased(now), job.object(), job.req.lane.clone());
+        let disk_cacheable = job.row.ttl >= MIN_DISK_CACHE_TTL;
+        let from_ledger = copy_request.source == Source::Ledger;
         // A ledger has looked at its copy's mark itself.
-        let same_purges = stocked || purges == self.current_purge_digest();
+        let same_purges = from_ledger || purges == self.current_purge_digest();
         // The copy's rest of life counts from when it was asked for.
-        let lives = |left: Span| good && copy_request.asked + left > now;
-        let lapsed_on_its_way = match &said {
-            CopyReply::Got(c) => good && !lives(c.left),
-            CopyReply::Same { left, .. } => good && !lives(*left),
+        let is_fresh = |left: Span| usable && copy_request.asked + left > now;
+        let expired_in_transit = match &reply {
+            CopyReply::Got(c) => usable && !is_fresh(c.left),
+            CopyReply::Same { left, .. } => usable && !is_fresh(*left),
             _ => false,
         };
-        match said {
+        match reply {
             CopyReply::Got(c) if self.purged_tags.is_purged(&c.whole.heads, copy_request.asked) => {
                 self.count("purged on their way");
                 if current {
@@ -125,32 +128,32 @@
                 }
             }
             CopyReply::Got(c)
-                if lives(c.left) && (same_purges || now - copy_request.asked < PURGE_MISMATCH_TTL) =>
+                if is_fresh(c.left) && (same_purges || now - copy_request.asked < PURGE_MISMATCH_TTL) =>
             {
                 let (since, until) = (
                     copy_request.asked - c.current_age,
                     (copy_request.asked + c.left).min(self.leased_until()),
                 );
-                self.count(if stocked { "filled from ledgers" } else { "filled from homes" });
+                self.count(if from_ledger { "filled from ledgers" } else { "filled from homes" });
                 // Whoever knew other purges may have shown what one of them took.
-                let sure = same_purges && c.whole.status == 200;
-                self.body_sizes.note(&lane, c.whole.size());
+                let storable = same_purges && c.whole.status == 200;
+                self.body_sizes.note(&route, c.whole.size());
                 let non_home = !self.is_beyond_home_tier(copy_request.source);
                 let copy = Copy { whole: Arc::new(c.whole), public: c.public, since, until, non_home };
-                if sure {
+                if storable {
                     self.keep(now, object, copy.clone());
                 }
                 self.serve_copy(now, id, copy, out);
             }
-            CopyReply::Same { left, current_age } if lives(left) => {
+            CopyReply::Same { left, current_age } if is_fresh(left) => {
                 match self.copies.peek(&object).cloned() {
-                    Some(was) => {
+                    Some(cached) => {
                         let (since, until) = (
                             copy_request.asked - current_age,
                             (copy_request.asked + left).min(self.leased_until()),
                         );
                         self.count("renewed from homes");
-                        let copy = Copy { since, until, ..was };
+                        let copy = Copy { since, until, ..cached };
                         self.copies.put(object, copy.clone());
                         self.serve_copy(now, id, copy, out);
                     }
@@ -160,16 +163,16 @@
                 }
             }
             // The home's own copy has lapsed too by now: it renews it when it is asked again.
-            _ if lapsed_on_its_way && lives_long && current => {
+            _ if expired_in_transit && disk_cacheable && current => {
                 self.count("lapsed on their way");
                 self.ask_source(now, id, copy_request.source, out);
             }
             CopyReply::Uncacheable => self.split_unshared_callers(now, id, None, out),
-            CopyReply::Own(w) => {
-                let s = Step::Serve(Arc::new(*w), AnswerSource::Own, Mono(u64::MAX));
-                self.finish(now, id, s, out);
+            CopyReply::Own(response) => {
+                let step = Step::Serve(Arc::new(*response), AnswerSource::Own, Mono(u64::MAX));
+                self.finish(now, id, step, out);
             }
-            CopyReply::TemporarilyUnavailable if current => self.ask_another(now, id, copy_request, out),
+            CopyReply::TemporarilyUnavailable if current => self.ask_other_home(now, id, copy_request, out),
             CopyReply::AtCeiling if current => self.on_home_at_ceiling(now, id, copy_request, out),
             _ if current => self.ask_next(now, id, out),
             _ => (),
@@ -190,8 +193,13 @@
         source > Source::Home(if self.env.policy.near { Reach::Zone } else { Reach::Deployment })
     }
 
-    fn serve_copy(&mut self, now: Mono, id: u64, c: Copy, out: &mut Vec<Out>) {
-        let out_by = (c.until + DELIVERY_MARGIN).min(self.leased_until());
-        self.finish(now, id, Step::Serve(c.whole, AnswerSource::Copy(now - c.since), out_by), out);
+    fn serve_copy(&mut self, now: Mono, id: u64, copy: Copy, out: &mut Vec<Out>) {
+        let send_deadline = (copy.until + DELIVERY_MARGIN).min(self.leased_until());
+        self.finish(
+            now,
+            id,
+            Step::Serve(copy.whole, AnswerSource::Copy(now - copy.since), send_deadline),
+            out,
+        );
     }
 }
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -59,7 +59,7 @@
     /// Of all purges known, unless one came since it was last asked for.
     pub(crate) purge_digest: Option<u64>,
     /// Copies offered to ledgers, by the job that filled them.
-    pub(crate) offers: BTreeMap<u64, Object>,
+    pub(crate) disk_cache_offers: BTreeMap<u64, Object>,
     pub(crate) outcome_deliveries: Vec<OutcomeDelivery>,
     /// Objects whose answers lately were not to be shared, and until when each
     /// caller is answered by the origin.
@@ -73,11 +73,11 @@
     pub(crate) forwarded_calls: ForwardedCalls,
     pub(crate) local_controller: LocalControllerState,
     /// When the copies were last looked through.
-    swept: Mono,
-    pub(crate) next: u64,
+    last_sweep: Mono,
+    pub(crate) last_number: u64,
     /// Since when it leaves: not ready at once, but taking requests for the grace.
-    pub(crate) leaving: Option<Mono>,
-    pub(crate) counts: BTreeMap<&'static str, u64>,
+    pub(crate) leaving_since: Option<Mono>,
+    pub(crate) counters: BTreeMap<&'static str, u64>,
     pub(crate) metrics: EdgeMetrics,
 }
 
@@ -95,7 +95,7 @@
             fills: BTreeMap::new(),
             rounds: BTreeMap::new(),
             purge_digest: None,
-            offers: BTreeMap::new(),
+            disk_cache_offers: BTreeMap::new(),
             outcome_deliveries: vec![],
             unshared: BTreeMap::new(),
             body_sizes: BodySizes::default(),
@@ -104,12 +104,12 @@
             unresponsive: BTreeMap::new(),
             forwarded_calls: ForwardedCalls::default(),
             local_controller: LocalControllerState::default(),
-            swept: Mono(0),
+            last_sweep: Mono(0),
             // Lives begin at different numbers, for some choices are spread by them.
             // Answers find their questions by the life as well, see `answers`.
-            next: env.follow.birth.0 << 20,
-            leaving: None,
-            counts: BTreeMap::new(),
+            last_number: env.follow.birth.0 << 20,
+            leaving_since: None,
+            counters: BTreeMap::new(),
             metrics: EdgeMetrics::default(),
             env,
         }
@@ -125,12 +125,12 @@
     }
 
     pub(crate) fn count(&mut self, name: &'static str) {
-        *self.counts.entry(name).or_default() += 1;
+        *self.counters.entry(name).or_default() += 1;
     }
 
     pub(crate) fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+        self.last_number += 1;
+        self.last_number
     }
 
     /// Until when the setup lease holds: a classic quorum of controllers carries it.
@@ -148,24 +148,24 @@
     }
 
     pub(crate) fn leave(&mut self, now: Mono) {
-        self.leaving = self.leaving.or(Some(now));
+        self.leaving_since = self.leaving_since.or(Some(now));
     }
 
     pub(crate) fn drained(&self, now: Mono) -> bool {
-        self.leaving.is_some_and(|t| now - t >= self.env.grace)
+        self.leaving_since.is_some_and(|t| now - t >= self.env.grace)
     }
 
     fn health(&self, now: Mono) -> Health {
-        let (leaving, drained) = (self.leaving.is_some(), self.drained(now));
+        let (leaving, drained) = (self.leaving_since.is_some(), self.drained(now));
         // One that serves on out of touch does so for callers that have nowhere else to go.
-        let fit = self.in_touch(now);
-        let why = match (drained, leaving, fit) {
+        let has_quorum = self.in_touch(now);
+        let why = match (drained, leaving, has_quorum) {
             (true, ..) => "draining",
             (_, true, _) => "leaving: takes requests for a moment yet",
             (.., false) => "no setup lease",
             _ => "",
         };
-        let mut counts: Vec<_> = self.counts.iter().map(|(k, v)| (*k, *v)).collect();
+        let mut counts: Vec<_> = self.counters.iter().map(|(k, v)| (*k, *v)).collect();
         counts.extend([
             ("copies", self.copies.len() as u64),
             ("copies bytes", self.copies.bytes() as u64),
@@ -186,16 +186,16 @@
         self.expire_jobs(now, out);
         self.push_outcomes(now, out);
         self.advance_forwarded_calls(now, out);
-        if now - self.swept >= Span::ms(500) {
-            self.swept = now;
+        if now - self.last_sweep >= Span::ms(500) {
+            self.last_sweep = now;
             self.copies.drop_old(now);
             self.unshared.retain(|_, t| *t > now);
             self.move_queued_fills_to_homes(now, out);
             self.send_fill_progress(now, out);
             self.forget_purged_tags(now);
         }
-        while self.offers.len() > 1000 {
-            self.offers.pop_first();
+        while self.disk_cache_offers.len() > 1000 {
+            self.disk_cache_offers.pop_first();
         }
     }
 }
@@ -204,44 +204,46 @@
     fn step(&mut self, now: Mono, inp: In, out: &mut Vec<Out>) {
         match inp {
             In::Tick => self.tick(now, out),
-            In::Ask(t, a) => match a {
-                Ask::Begin(r) => self.begin(now, t, r, out),
-                Ask::Done(n, f) => {
-                    self.done(now, n, f, out);
-                    out.push(Out::Tell(t, NodeReply::Acknowledged));
+            In::Ask(token, ask) => match ask {
+                Ask::Begin(request) => self.begin(now, token, request, out),
+                Ask::Done(n, outcome) => {
+                    self.done(now, n, outcome, out);
+                    out.push(Out::Tell(token, NodeReply::Acknowledged));
                 }
-                Ask::Probes => out.push(Out::Tell(t, NodeReply::Probes(self.to_probe(now)))),
-                Ask::ProbeResult(a, said, began) => {
-                    self.probed(a, said, began);
-                    out.push(Out::Tell(t, NodeReply::Acknowledged));
+                Ask::Probes => out.push(Out::Tell(token, NodeReply::Probes(self.to_probe(now)))),
+                Ask::ProbeResult(addr, reply, started) => {
+                    self.probed(addr, reply, started);
+                    out.push(Out::Tell(token, NodeReply::Acknowledged));
                 }
-                Ask::Limits => out.push(Out::Tell(t, NodeReply::Limits(self.table.limits.clone()))),
-                Ask::Ready => out.push(Out::Tell(t, NodeReply::Health(self.health(now)))),
+                Ask::Limits => out.push(Out::Tell(token, NodeReply::Limits(self.table.limits.clone()))),
+                Ask::Ready => out.push(Out::Tell(token, NodeReply::Health(self.health(now)))),
                 Ask::Drain => {
                     self.leave(now);
                     out.push(Out::Note("draining"));
-                    out.push(Out::Tell(t, NodeReply::Health(self.health(now))));
+                    out.push(Out::Tell(token, NodeReply::Health(self.health(now))));
                 }
-                Ask::Table => out.push(Out::Tell(t, self.own_table(now))),
-                Ask::Change(c) => self.forward_call(now, t, Call::Change(c), out),
-                Ask::OriginHeartbeat(b, _) => self.forward_call(now, t, Call::OriginHeartbeat(b), out),
-                Ask::SignOff(tag) => self.forward_call(now, t, Call::SignOff(tag), out),
-                Ask::Read => self.forward_call(now, t, Call::Read(self.follow.digest()), out),
-                _ => out.push(Out::Tell(t, NodeReply::Unavailable("not asked of an edge"))),
+                Ask::Table => out.push(Out::Tell(token, self.own_table(now))),
+                Ask::Change(change) => self.forward_call(now, token, Call::Change(change), out),
+                Ask::OriginHeartbeat(heartbeat, _) => {
+                    self.forward_call(now, token, Call::OriginHeartbeat(heartbeat), out)
+                }
+                Ask::SignOff(tag) => self.forward_call(now, token, Call::SignOff(tag), out),
+                Ask::Read => self.forward_call(now, token, Call::Read(self.follow.digest()), out),
+                _ => out.push(Out::Tell(token, NodeReply::Unavailable("not asked of an edge"))),
             },
-            In::Msg(from, m) => match m {
-                Msg::CallAnswered(n, said) => self.on_call_answered(now, from, n, *said, out),
-                Msg::Update(n) => self.on_update(now, from, *n, out),
+            In::Msg(from, msg) => match msg {
+                Msg::CallAnswered(n, answer) => self.on_call_answered(now, from, n, *answer, out),
+                Msg::Update(update) => self.on_update(now, from, *update, out),
                 Msg::CopyQuery { ask, object, heads, reach, held, patience } => {
                     let options = CopyRequestOptions { heads, reach, held, patience };
                     self.on_copy_query(now, (from, ask), object, options, out)
                 }
                 Msg::CopyPending(ask) => self.on_copy_pending(now, from, ask),
-                Msg::CopyResult { ask, said, purges } => {
-                    self.on_copy_result(now, (from, ask), said, purges, out)
+                Msg::CopyResult { ask, said: reply, purges } => {
+                    self.on_copy_result(now, (from, ask), reply, purges, out)
                 }
                 Msg::DiskCacheWant { ask, at } => self.on_disk_cache_want(now, from, ask, at, out),
-                Msg::Claimed { round, said, .. } => self.on_claimed(now, from, round, said, out),
+                Msg::Claimed { round, said: vote, .. } => self.on_claimed(now, from, round, vote, out),
                 Msg::Kept { round, .. } => self.on_outcome_stored(now, from, round),
                 _ => self.count("stray"),
             },
--- a/crates/edge/src/expiry.rs
+++ b/crates/edge/src/expiry.rs
@@ -17,13 +17,13 @@
                     self.deny(now, id, Denied::Ceiling, out);
                 }
                 Stage::Home(copy_request) if waited > self.copy_request_timeout(copy_request) => {
-                    self.skip_silent_home(now, id, out);
+                    self.skip_unresponsive_home(now, id, out);
                 }
                 Stage::Claim(_) if waited > CLAIM_TIMEOUT => self.count_votes(now, id, true, out),
                 Stage::Claim(_) => self.retry_claim(now, id, out),
                 // The executor answers for its rounds; this is for one that died.
-                Stage::Out(r, _) if now > r.answer_deadline + Span::secs(5) => {
-                    let n = r.n;
+                Stage::Out(round, _) if now > round.answer_deadline + Span::secs(5) => {
+                    let n = round.n;
                     self.done(now, n, FetchOutcome::Lost, out);
                 }
                 _ => (),
@@ -33,12 +33,12 @@
 
     /// Tells those who cannot wait as long as others for the same fill.
     fn expire_callers(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
-        let until = |job: &Job, c: &Waiting| match job.stage {
+        let deadline = |job: &Job, c: &Waiting| match job.stage {
             Stage::Queued => job.queue_deadline(c),
             Stage::Home(_) | Stage::Claim(_) => c.deadline,
             Stage::Out(..) => Mono(u64::MAX),
         };
-        self.deny_callers(now, id, |job, c| now >= until(job, c), out);
+        self.deny_callers(now, id, |job, c| now >= deadline(job, c), out);
     }
 
     /// Denies these callers; the job ends with the last of them.
@@ -49,15 +49,15 @@
         which: impl Fn(&Job, &Waiting) -> bool,
         out: &mut Vec<Out>,
     ) {
-        let word = self.denial(id, Denied::Ceiling);
+        let denial = self.denial(id, Denied::Ceiling);
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let all = std::mem::take(&mut job.callers);
-        let (over, rest): (Vec<Waiting>, Vec<Waiting>) = all.into_iter().partition(|c| which(job, c));
-        if rest.is_empty() && !over.is_empty() {
-            job.callers = over;
-            return self.finish(now, id, word, out);
+        let callers = std::mem::take(&mut job.callers);
+        let (denied, rest): (Vec<Waiting>, Vec<Waiting>) = callers.into_iter().partition(|c| which(job, c));
+        if rest.is_empty() && !denied.is_empty() {
+            job.callers = denied;
+            return self.finish(now, id, denial, out);
         }
         job.callers = rest;
-        over.iter().for_each(|c| self.answer_caller(now, &c.caller, word.clone(), out));
+        denied.iter().for_each(|c| self.answer_caller(now, &c.caller, denial.clone(), out));
     }
 }
--- a/crates/edge/src/forwarded_calls.rs
+++ b/crates/edge/src/forwarded_calls.rs
@@ -158,7 +158,7 @@
         answer: CallAnswer,
         out: &mut Vec<Out>,
     ) {
-        let Some(n) = self.own_number(ask) else { return };
+        let Some(n) = self.own_request(ask) else { return };
         self.forwarded_calls.last_answers.insert(from, now);
         let Some(forwarded) = self.forwarded_calls.open.get_mut(&n) else { return };
         if let CallAnswer::Unavailable(why) = &answer {
--- a/crates/edge/src/keyed.rs
+++ b/crates/edge/src/keyed.rs
@@ -73,7 +73,8 @@
     ) {
         let Some(id) = self.own_round(round) else { return };
         let Some(job) = self.jobs.get_mut(&id) else { return self.count(UNEXPECTED_ANSWER) };
-        let expected = job.claim.as_ref().is_some_and(|c| c.round == round && c.ledgers().contains(&from));
+        let expected =
+            job.claim.as_ref().is_some_and(|claim| claim.round == round && claim.ledgers().contains(&from));
         match &mut job.stage {
             Stage::Claim(votes) if expected => {
                 votes.insert(from, vote);
@@ -83,17 +84,17 @@
         }
     }
 
-    pub(crate) fn count_votes(&mut self, now: Mono, id: u64, late: bool, out: &mut Vec<Out>) {
+    pub(crate) fn count_votes(&mut self, now: Mono, id: u64, timed_out: bool, out: &mut Vec<Out>) {
         let Some(job) = self.jobs.get(&id) else { return };
         let (Stage::Claim(votes), Some(claim)) = (&job.stage, &job.claim) else { return };
         let recorded = votes.values().find_map(|v| match v {
             Claimed::Held(Some(response)) => Some(response.clone()),
             _ => None,
         });
-        let mismatch = votes.values().any(|v| *v == Claimed::PayloadMismatch);
+        let payload_mismatch = votes.values().any(|v| *v == Claimed::PayloadMismatch);
         let held = votes.values().any(|v| matches!(v, Claimed::Held(None)));
-        let all = votes.len() >= claim.ledgers().len();
-        if mismatch {
+        let complete = votes.len() >= claim.ledgers().len();
+        if payload_mismatch {
             self.deny(now, id, Denied::KeyReused, out);
         } else if let Some(response) = recorded {
             self.release_job(id, out);
@@ -106,7 +107,7 @@
         } else if claim.won(votes, self.env.losses) {
             self.record_grants(id);
             self.enqueue_job(now, id, out);
-        } else if held && (all || late) {
+        } else if held && (complete || timed_out) {
             // Another round has the key and its outcome is not known (yet).
             self.release_job(id, out);
             let has_host = self.jobs.get(&id).is_some_and(|job| job.req.host.is_some());
@@ -114,17 +115,17 @@
                 return self.deny(now, id, Denied::KeyAtWork, out);
             }
             self.finish(now, id, Step::OutcomeUnknown(Span::secs(1)), out);
-        } else if all || late {
+        } else if complete || timed_out {
             self.deny(now, id, Denied::SplitVote, out);
         }
     }
 
     fn record_grants(&mut self, id: u64) {
-        let Some(Job { stage: Stage::Claim(votes), claim: Some(c), .. }) = self.jobs.get_mut(&id) else {
+        let Some(Job { stage: Stage::Claim(votes), claim: Some(claim), .. }) = self.jobs.get_mut(&id) else {
             return;
         };
         let grants = votes.iter().filter(|(_, vote)| **vote == Claimed::Granted);
-        c.granted = grants.map(|(a, _)| *a).collect();
+        claim.granted = grants.map(|(a, _)| *a).collect();
     }
 
     fn release_job(&mut self, id: u64, out: &mut Vec<Out>) {
@@ -136,9 +137,9 @@
 
     /// The round will never be sent: its key is free again.
     pub(crate) fn release(&mut self, job: &Job, out: &mut Vec<Out>) {
-        if let Some(c) = job.claim.as_ref().filter(|_| job.sent_attempts == 0) {
-            let release = |a| Out::Send(a, Msg::Release { key: c.key.clone(), round: c.round });
-            out.extend(self.holders(c).into_iter().map(release));
+        if let Some(claim) = job.claim.as_ref().filter(|_| job.sent_attempts == 0) {
+            let release = |a| Out::Send(a, Msg::Release { key: claim.key.clone(), round: claim.round });
+            out.extend(self.holders(claim).into_iter().map(release));
         }
     }
 
@@ -152,9 +153,9 @@
         out: &mut Vec<Out>,
     ) {
         let claim = self.jobs.get(&id).and_then(|job| job.claim.clone());
-        if let Some(c) = claim {
-            let ledgers = self.rank_outcome_holders(&c);
-            let Claim { round, key, fingerprint, .. } = c;
+        if let Some(claim) = claim {
+            let ledgers = self.rank_outcome_holders(&claim);
+            let Claim { round, key, fingerprint, .. } = claim;
             let of = KeyedRound { key, fingerprint, round };
             let delivery = if self.env.policy.near {
                 // On one disk more than may be lost at once.
@@ -170,24 +171,24 @@
 
     /// All ledgers that may hold the grant: those it was claimed from, and those that
     /// took it over because the set has changed since.
-    fn holders(&self, c: &Claim) -> BTreeSet<Addr> {
-        let current = self.table.ledger_sets.named(&c.key, self.env.losses);
-        c.ledgers().into_iter().chain(current.into_iter().flatten()).collect()
+    fn holders(&self, claim: &Claim) -> BTreeSet<Addr> {
+        let current = self.table.ledger_sets.named(&claim.key, self.env.losses);
+        claim.ledgers().into_iter().chain(current.into_iter().flatten()).collect()
     }
 
     /// Who may keep the outcome, the first choices last: the key's ledgers, those that granted it
     /// before others, of them those of the newest set, and of them the nearest.
-    fn rank_outcome_holders(&self, c: &Claim) -> Vec<Holder> {
-        let newest = self.table.ledger_sets.named(&c.key, self.env.losses).pop().unwrap_or_default();
+    fn rank_outcome_holders(&self, claim: &Claim) -> Vec<Holder> {
+        let newest = self.table.ledger_sets.named(&claim.key, self.env.losses).pop().unwrap_or_default();
         let here = &self.follow.env.zone;
-        let known = |a: &Addr| self.table.ledgers.iter().find(|l| l.addr == *a);
+        let registered = |a: &Addr| self.table.ledgers.iter().find(|l| l.addr == *a);
         let proximity = |a: &Addr| {
-            let zone = known(a).map(|l| &l.zone);
+            let zone = registered(a).map(|l| &l.zone);
             zone.map(|z| (z.region() == here.region(), z == here)).unwrap_or_default()
         };
-        let mut holders: Vec<Addr> = self.holders(c).into_iter().collect();
-        holders.sort_by_key(|a| (c.granted.contains(a), newest.contains(a), proximity(a)));
-        let birth = |a: &Addr| known(a).map_or(Birth(0), |l| l.birth);
+        let mut holders: Vec<Addr> = self.holders(claim).into_iter().collect();
+        holders.sort_by_key(|a| (claim.granted.contains(a), newest.contains(a), proximity(a)));
+        let birth = |a: &Addr| registered(a).map_or(Birth(0), |l| l.birth);
         holders.into_iter().map(|addr| Holder { addr, birth: birth(&addr) }).collect()
     }
 
--- a/crates/edge/src/queue.rs
+++ b/crates/edge/src/queue.rs
@@ -46,7 +46,7 @@
     }
 
     /// How long its callers wait yet.
-    pub(crate) fn patience(&self, now: Mono) -> Patience {
+    pub(crate) fn remaining_patience(&self, now: Mono) -> Patience {
         Patience { in_line: self.latest_queue_deadline() - now, left: self.deadline - now }
     }
 }
@@ -72,17 +72,19 @@
     pub(crate) fn enqueue_job(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         self.set_stage(now, id, Stage::Queued);
         let Some(job) = self.jobs.get(&id) else { return };
-        let (svc, queue_position, first) =
+        let (svc, queue_position, first_attempt) =
             (job.svc.clone(), job.queue_position(now), job.sent_attempts == 0 && job.unsent_attempts == 0);
-        let patience = job.latest_queue_deadline() - now;
-        if first {
+        let max_wait = job.latest_queue_deadline() - now;
+        if first_attempt {
             self.note_first_attempt(now, &svc);
         }
-        let ahead = |o: &Job| o.is_queued() && o.svc == svc && o.queue_position(now) <= queue_position;
-        let before = self.jobs.iter().filter(|(i, o)| **i != id && ahead(o)).count();
-        if before == 0 {
+        let is_ahead = |other: &Job| {
+            other.is_queued() && other.svc == svc && other.queue_position(now) <= queue_position
+        };
+        let ahead = self.jobs.iter().filter(|(other, job)| **other != id && is_ahead(job)).count();
+        if ahead == 0 {
             self.start_round(now, id, out);
-        } else if self.wait_behind(&svc, before) > patience {
+        } else if self.min_queue_time(&svc, ahead) > max_wait {
             // Not even all that this edge may get could serve it in time: it is told so now.
             self.deny(now, id, Denied::Ceiling, out);
         }
@@ -95,8 +97,8 @@
 
     /// Lets the lines move, each until somebody in it has to wait.
     pub(crate) fn start_queued_jobs(&mut self, now: Mono, out: &mut Vec<Out>) {
-        for line in self.queues(now) {
-            for id in line {
+        for queue in self.queues(now) {
+            for id in queue {
                 self.start_round(now, id, out);
                 if self.jobs.get(&id).is_some_and(Job::is_queued) {
                     break;
@@ -111,17 +113,17 @@
         for (id, job) in self.jobs.iter().filter(|(_, job)| job.is_queued()) {
             queues.entry(&job.svc).or_default().push((job.queue_position(now), *id));
         }
-        let in_order = |mut line: Vec<(QueuePosition, u64)>| {
-            line.sort_unstable();
-            line.into_iter().map(|(_, id)| id).collect()
+        let sorted_ids = |mut queue: Vec<(QueuePosition, u64)>| {
+            queue.sort_unstable();
+            queue.into_iter().map(|(_, id)| id).collect()
         };
-        queues.into_values().map(in_order).collect()
+        queues.into_values().map(sorted_ids).collect()
     }
 
     /// How long it takes at least until so many of the line have gone.
-    fn wait_behind(&self, svc: &Svc, before: usize) -> Span {
+    fn min_queue_time(&self, svc: &Svc, ahead: usize) -> Span {
         let Some(share) = self.table.shares.get(svc) else { return Span(0) };
-        let most = self.table.own_rate(self.follow.env.id, share) + share.lent;
-        Span((before as f64 / most * MICROS_PER_SECOND) as u64)
+        let max_rate = self.table.own_rate(self.follow.env.id, share) + share.lent;
+        Span((ahead as f64 / max_rate * MICROS_PER_SECOND) as u64)
     }
 }
--- a/crates/edge/src/revalidation.rs
+++ b/crates/edge/src/revalidation.rs
@@ -11,12 +11,13 @@
 
 impl Edge {
     /// A fill of something that was had before asks only for what is newer.
-    pub(crate) fn conditional(&self, id: u64, req: CallerRequest) -> CallerRequest {
+    pub(crate) fn add_revalidation_header(&self, id: u64, req: CallerRequest) -> CallerRequest {
         let job =
             self.jobs.get(&id).filter(|job| job.kind == Kind::Read && !job.unshared && !job.unconditional);
-        let was = job.and_then(|job| self.copies.peek(&job.object()));
-        let tag = was.and_then(|c| c.whole.heads.get("etag")).map(str::to_string);
-        tag.into_iter().fold(req, |q, t| CallerRequest { heads: q.heads.with(IF_NONE_MATCH, t), ..q })
+        let cached = job.and_then(|job| self.copies.peek(&job.object()));
+        let etag = cached.and_then(|c| c.whole.heads.get("etag")).map(str::to_string);
+        etag.into_iter()
+            .fold(req, |req, etag| CallerRequest { heads: req.heads.with(IF_NONE_MATCH, etag), ..req })
     }
 
     /// The origin has nothing newer: the copy lives on, from when it was asked about.
@@ -26,22 +27,22 @@
         now: Mono,
         id: u64,
         sent: Mono,
-        r: &Round,
+        round: &Round,
         out: &mut Vec<Out>,
     ) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let (obj, ttl) = (job.object(), job.row.ttl);
-        let same = |c: &&Copy| c.whole.heads.get("etag") == r.req.heads.get(IF_NONE_MATCH);
-        let Some(was) = self.copies.peek(&obj).filter(same).cloned() else {
+        let (object, row_ttl) = (job.object(), job.row.ttl);
+        let same_etag = |c: &&Copy| c.whole.heads.get("etag") == round.req.heads.get(IF_NONE_MATCH);
+        let Some(cached) = self.copies.peek(&object).filter(same_etag).cloned() else {
             // It left the shelf for room: the whole is wanted after all.
             job.unconditional = true;
             return self.retry_or(now, id, true, Step::OutcomeUnknown(Span::secs(1)), out);
         };
-        let life = cacheability(&r.req, &was.whole, ttl).life;
-        let (since, until) = (sent, sent + life);
+        let ttl = cacheability(&round.req, &cached.whole, row_ttl).ttl;
+        let (since, until) = (sent, sent + ttl);
         self.count("renewed");
-        self.copies.put(obj, Copy { since, until, ..was.clone() });
-        let by = (until.max(now) + DELIVERY_MARGIN).min(self.leased_until());
-        self.finish(now, id, Step::Serve(was.whole, AnswerSource::Copy(now - since), by), out);
+        self.copies.put(object, Copy { since, until, ..cached.clone() });
+        let send_deadline = (until.max(now) + DELIVERY_MARGIN).min(self.leased_until());
+        self.finish(now, id, Step::Serve(cached.whole, AnswerSource::Copy(now - since), send_deadline), out);
     }
 }
--- a/crates/edge/src/rounds.rs
+++ b/crates/edge/src/rounds.rs
@@ -9,16 +9,16 @@
 
 /// The last word on an answer that is larger than this deployment serves.
 fn too_large() -> Whole {
-    let v =
+    let body =
         obj(vec![("problem", text("too large")), ("reason", text("the origin's answer is over the limit"))]);
-    Whole::new(502, "application/json", v.stringify().unwrap_or_default().into_bytes())
+    Whole::new(502, "application/json", body.stringify().unwrap_or_default().into_bytes())
 }
 
 impl Edge {
-    pub(crate) fn set_stage(&mut self, now: Mono, id: u64, s: Stage) {
+    pub(crate) fn set_stage(&mut self, now: Mono, id: u64, stage: Stage) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         self.metrics.note_wait(&job.stage, now - job.stage_since);
-        job.stage = s;
+        job.stage = stage;
         job.stage_since = now;
     }
 
@@ -32,63 +32,63 @@
     /// Sends the executor to an origin, or leaves the job in line, or denies it.
     pub(crate) fn start_round(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         let Some(job) = self.jobs.get(&id) else { return };
-        let (svc, leave, req) = (job.svc.clone(), job.send_deadline, job.req.clone());
-        let on = match job.kind {
+        let (svc, send_deadline, req) = (job.svc.clone(), job.send_deadline, job.req.clone());
+        let rendezvous_key = match job.kind {
             Kind::Read => primitives::hash(&job.req.path),
             Kind::Keyed => primitives::hash(&job.req.key),
             Kind::Plain | Kind::Once => id,
         };
-        let fresh_first =
+        let already_tried =
             |(a, o, _): &(primitives::Addr, Origin, Mono)| job.tried_origins.contains(&(*a, o.birth));
-        let mut all = if self.env.policy.load_balanced {
+        let mut candidates = if self.env.policy.load_balanced {
             self.load_balanced(now, &svc, id, job.kind == Kind::Read)
         } else {
-            self.candidates(now, &svc, on)
+            self.candidates(now, &svc, rendezvous_key)
         };
-        all.sort_by_key(fresh_first);
+        candidates.sort_by_key(already_tried);
         let lease = self.leased_until();
-        let Some((addr, o, fresh)) = all.into_iter().next() else {
+        let Some((addr, origin, fresh_until)) = candidates.into_iter().next() else {
             return self.deny(now, id, Denied::NoOrigin, out);
         };
-        if lease <= now || leave <= now {
+        if lease <= now || send_deadline <= now {
             return self.deny(now, id, Denied::NoLease, out);
         }
         let Some(token) = self.spend(now, &svc) else { return self.request_tokens_now(now, &svc, out) };
         let n = self.number();
-        let req = self.conditional(id, req);
-        let r = Round {
+        let req = self.add_revalidation_header(id, req);
+        let round = Round {
             n,
             addr,
             svc,
-            birth: o.birth,
-            tag: o.tag,
-            until: fresh.min(lease).min(token).min(leave),
+            birth: origin.birth,
+            tag: origin.tag,
+            until: fresh_until.min(lease).min(token).min(send_deadline),
             answer_deadline: self.jobs.get(&id).map_or(now, |job| job.deadline),
             extra: self.jobs.get(&id).is_some_and(|job| job.sent_attempts + job.refused_attempts > 0),
             req,
         };
         self.rounds.insert(n, id);
-        self.set_stage(now, id, Stage::Out(Box::new(r.clone()), token));
+        self.set_stage(now, id, Stage::Out(Box::new(round.clone()), token));
         let job = self.jobs.get_mut(&id).expect("looked up above");
-        job.tried_origins.push((addr, o.birth));
+        job.tried_origins.push((addr, origin.birth));
         self.count("rounds");
-        out.push(Out::Fetch(r));
+        out.push(Out::Fetch(round));
     }
 
     /// An executor's report.
-    pub(crate) fn done(&mut self, now: Mono, n: u64, f: FetchOutcome, out: &mut Vec<Out>) {
+    pub(crate) fn done(&mut self, now: Mono, n: u64, outcome: FetchOutcome, out: &mut Vec<Out>) {
         let Some(id) = self.rounds.remove(&n) else { return };
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let Stage::Out(r, token) = &job.stage else { return };
-        let (r, token, sent) = (r.clone(), *token, job.stage_since);
-        match f {
+        let Stage::Out(round, token) = &job.stage else { return };
+        let (round, token, sent) = (round.clone(), *token, job.stage_since);
+        match outcome {
             FetchOutcome::NotSent => {
                 job.unsent_attempts += 1;
-                let again = job.unsent_attempts < 3;
-                self.refund(now, &r.svc, token);
-                self.note_failure(now, r.addr, r.birth);
-                self.note_unreached(now, r.addr, r.birth);
-                if again {
+                let retry = job.unsent_attempts < 3;
+                self.refund(now, &round.svc, token);
+                self.note_failure(now, round.addr, round.birth);
+                self.note_unreached(now, round.addr, round.birth);
+                if retry {
                     self.enqueue_job(now, id, out);
                 } else {
                     self.deny(now, id, Denied::NoOrigin, out);
@@ -96,9 +96,9 @@
             }
             FetchOutcome::Refused | FetchOutcome::WrongIncarnation => {
                 job.refused_attempts += 1;
-                let more = job.refused_attempts + job.sent_attempts < job.max_attempts;
-                self.note_failure(now, r.addr, r.birth);
-                if more && self.take_retry_token(now, &r.svc) {
+                let attempts_left = job.refused_attempts + job.sent_attempts < job.max_attempts;
+                self.note_failure(now, round.addr, round.birth);
+                if attempts_left && self.take_retry_token(now, &round.svc) {
                     self.count("extra tries");
                     self.enqueue_job(now, id, out);
                 } else {
@@ -108,52 +108,53 @@
             FetchOutcome::Lost => {
                 job.sent_attempts += 1;
                 let safe = job.safe();
-                self.note_failure(now, r.addr, r.birth);
+                self.note_failure(now, round.addr, round.birth);
                 self.retry_or(now, id, safe, Step::OutcomeUnknown(Span::secs(2)), out);
             }
             FetchOutcome::TooLarge => {
                 // Asking again would only bring it once more.
                 job.sent_attempts += 1;
-                let (keyed, w) = (job.kind == Kind::Keyed, too_large());
-                let s = Step::Serve(Arc::new(w.clone()), AnswerSource::Own, Mono(u64::MAX));
+                let (keyed, response) = (job.kind == Kind::Keyed, too_large());
+                let step = Step::Serve(Arc::new(response.clone()), AnswerSource::Own, Mono(u64::MAX));
                 if keyed {
-                    self.finish_keyed(now, id, w, s, out);
+                    self.finish_keyed(now, id, response, step, out);
                 } else {
-                    self.finish(now, id, s, out);
+                    self.finish(now, id, step, out);
                 }
             }
-            FetchOutcome::Whole(w) => {
+            FetchOutcome::Whole(response) => {
                 job.sent_attempts += 1;
                 let (kind, safe, invalidated) = (job.kind, job.safe(), job.invalidated);
-                let invalidated = invalidated || self.purged_tags.is_purged(&w.heads, sent);
-                self.note_latency(r.addr, r.birth, now - sent);
-                let failed = w.status >= 500;
-                let s = Step::Serve(Arc::new(w.clone()), AnswerSource::Origin, Mono(u64::MAX));
+                let invalidated = invalidated || self.purged_tags.is_purged(&response.heads, sent);
+                self.note_latency(round.addr, round.birth, now - sent);
+                let server_error = response.status >= 500;
+                let step = Step::Serve(Arc::new(response.clone()), AnswerSource::Origin, Mono(u64::MAX));
                 match kind {
                     Kind::Read if invalidated => {
                         self.retry_or(now, id, true, Step::OutcomeUnknown(Span::secs(1)), out);
                     }
-                    _ if failed && safe => {
-                        self.note_failure(now, r.addr, r.birth);
-                        self.retry_or(now, id, true, s, out);
+                    _ if server_error && safe => {
+                        self.note_failure(now, round.addr, round.birth);
+                        self.retry_or(now, id, true, step, out);
                     }
-                    Kind::Read if w.status == 304 && r.req.heads.has(IF_NONE_MATCH) => {
-                        self.finish_revalidation(now, id, sent, &r, out)
+                    Kind::Read if response.status == 304 && round.req.heads.has(IF_NONE_MATCH) => {
+                        self.finish_revalidation(now, id, sent, &round, out)
                     }
-                    Kind::Read => self.finish_fill(now, id, sent, w, out),
-                    Kind::Plain | Kind::Once => self.finish(now, id, s, out),
-                    Kind::Keyed => self.finish_keyed(now, id, w, s, out),
+                    Kind::Read => self.finish_fill(now, id, sent, response, out),
+                    Kind::Plain | Kind::Once => self.finish(now, id, step, out),
+                    Kind::Keyed => self.finish_keyed(now, id, response, step, out),
                 }
             }
         }
     }
 
     /// Another round if that does no harm and the budget has one, else `last`.
-    pub(crate) fn retry_or(&mut self, now: Mono, id: u64, safe: bool, last: Step, out: &mut Vec<Out>) {
+    pub(crate) fn retry_or(&mut self, now: Mono, id: u64, safe: bool, fallback: Step, out: &mut Vec<Out>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let (svc, few) = (job.svc.clone(), job.sent_attempts + job.refused_attempts < job.max_attempts);
+        let (svc, attempts_left) =
+            (job.svc.clone(), job.sent_attempts + job.refused_attempts < job.max_attempts);
         let late = now >= job.deadline;
-        if safe && few && !late && self.take_retry_token(now, &svc) {
+        if safe && attempts_left && !late && self.take_retry_token(now, &svc) {
             self.count("extra tries");
             self.jobs.entry(id).and_modify(|job| job.invalidated = false);
             if self.jobs[&id].kind == Kind::Read {
@@ -162,7 +163,7 @@
                 self.enqueue_job(now, id, out);
             }
         } else {
-            self.finish(now, id, last, out);
+            self.finish(now, id, fallback, out);
         }
     }
 }
--- a/crates/edge/src/sources.rs
+++ b/crates/edge/src/sources.rs
@@ -56,34 +56,41 @@
     /// The first home by rendezvous of those that have not kept silent lately.
     pub(crate) fn home(&self, now: Mono, object: &Object, reach: Reach) -> Option<Addr> {
         let homes = self.table.homes(reach, &self.follow.env.zone).iter();
-        let speaks = |e: &&EdgeNode| self.unresponsive.get(&e.addr).is_none_or(|t| *t <= now);
-        primitives::first(object, homes.filter(speaks), |e| e.id.0, |e| e.capacity).map(|e| e.addr)
+        let is_responsive = |e: &&EdgeNode| self.unresponsive.get(&e.addr).is_none_or(|t| *t <= now);
+        primitives::first(object, homes.filter(is_responsive), |e| e.id.0, |e| e.capacity).map(|e| e.addr)
     }
 
     /// The ledger that stocks an object, of this edge's region, if ledgers stock any.
-    pub(crate) fn disk_cache_ledger(&self, now: Mono, obj: &Object) -> Option<Addr> {
+    pub(crate) fn disk_cache_ledger(&self, now: Mono, object: &Object) -> Option<Addr> {
         if !self.env.disk_cache {
             return None;
         }
-        let here = self.follow.env.zone.region();
-        let near: Vec<_> = self.table.ledgers.iter().filter(|l| l.zone.region() == here).cloned().collect();
-        let ranked = primitives::rank(obj, &near, |l| l.id.0);
-        let speaks = |a: &Addr| self.unresponsive.get(a).is_none_or(|t| *t <= now);
-        ranked.into_iter().map(|l| l.addr).next().filter(speaks)
+        let region = self.follow.env.zone.region();
+        let candidates: Vec<_> =
+            self.table.ledgers.iter().filter(|l| l.zone.region() == region).cloned().collect();
+        let ranked = primitives::rank(object, &candidates, |l| l.id.0);
+        let is_responsive = |a: &Addr| self.unresponsive.get(a).is_none_or(|t| *t <= now);
+        ranked.into_iter().map(|l| l.addr).next().filter(is_responsive)
     }
 
     /// The first source that is to be asked by one who acts for that reach, or for callers.
     pub(crate) fn first_source(&self, now: Mono, object: &Object, home_reach: Option<Reach>) -> Source {
-        let me = self.follow.env.addr;
-        let wider = self.reaches().iter().filter(|r| home_reach.is_none_or(|acts| **r > acts));
+        let own_addr = self.follow.env.addr;
+        let wider = self.reaches().iter().filter(|r| home_reach.is_none_or(|acting| **r > acting));
         // Who is the home of a reach asks nobody of a nearer one.
-        let own = self.reaches().iter().rev().find(|r| self.home(now, object, **r) == Some(me));
-        let mut asked = wider.filter(|r| own.is_none_or(|own| *r > own));
-        asked.next().map_or(Source::Ledger, |r| Source::Home(*r))
+        let own_reach = self.reaches().iter().rev().find(|r| self.home(now, object, **r) == Some(own_addr));
+        let mut to_ask = wider.filter(|r| own_reach.is_none_or(|own| *r > own));
+        to_ask.next().map_or(Source::Ledger, |r| Source::Home(*r))
     }
 
     /// Who was asked is out of touch: another home of the same reach, or the next source.
-    pub(crate) fn ask_another(&mut self, now: Mono, id: u64, copy_request: CopyRequest, out: &mut Vec<Out>) {
+    pub(crate) fn ask_other_home(
+        &mut self,
+        now: Mono,
+        id: u64,
+        copy_request: CopyRequest,
+        out: &mut Vec<Out>,
+    ) {
         self.unresponsive.insert(copy_request.to, now + NO_QUORUM_COOLDOWN);
         self.ask_source(now, id, copy_request.source, out);
     }
@@ -91,12 +98,13 @@
     /// Fills that stand in line here for want of a home: once there is one that speaks, they are
     /// left to it.
     pub(crate) fn move_queued_fills_to_homes(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let fill = |job: &Job| job.is_queued() && job.kind == Kind::Read && !job.unshared;
-        let fills: Vec<u64> = self.jobs.iter().filter(|(_, job)| fill(job)).map(|(id, _)| *id).collect();
-        fills.into_iter().for_each(|id| self.leave_line_for_home(now, id, out));
+        let is_queued_fill = |job: &Job| job.is_queued() && job.kind == Kind::Read && !job.unshared;
+        let fills: Vec<u64> =
+            self.jobs.iter().filter(|(_, job)| is_queued_fill(job)).map(|(id, _)| *id).collect();
+        fills.into_iter().for_each(|id| self.move_queued_fill_to_home(now, id, out));
     }
 
-    fn leave_line_for_home(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
+    fn move_queued_fill_to_home(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         let Some(job) = self.jobs.get(&id) else { return };
         let (object, home_reach) = (job.object(), job.home_reach);
         let mut source = self.first_source(now, &object, home_reach);
@@ -113,11 +121,11 @@
     pub(crate) fn ask_source(&mut self, now: Mono, id: u64, source: Source, out: &mut Vec<Out>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.invalidated = false;
-        let (object, lives) = (job.object(), job.row.ttl >= MIN_DISK_CACHE_TTL);
+        let (object, disk_cacheable) = (job.object(), job.row.ttl >= MIN_DISK_CACHE_TTL);
         self.fills.insert(object.clone(), id);
         let to = match source {
             Source::Home(reach) => self.home_to_ask(now, &object, reach),
-            Source::Ledger => self.disk_cache_ledger(now, &object).filter(|_| lives),
+            Source::Ledger => self.disk_cache_ledger(now, &object).filter(|_| disk_cacheable),
             Source::Origin => return self.enqueue_job(now, id, out),
         };
         match to {
@@ -150,20 +158,20 @@
         };
         let usable =
             |(addr, origin): &(Addr, Origin)| is_nearby(origin) && self.fresh_until(addr, origin) > now;
-        let Some(lane) = self.table.route_of(&object.site, &object.path) else { return false };
+        let Some(route) = self.table.route_of(&object.site, &object.path) else { return false };
         let origins = self.table.origins.get(&object.service).map_or(&[][..], Vec::as_slice);
         let renewable = || self.copies.peek(object).is_some_and(|c| c.whole.heads.has("etag"));
         // Within a region origins are spared the others' fills where they have few slots, and
         // as soon as they are pressed.
-        let spared = || {
+        let must_spare_origins = || {
             let slots: u32 = origins.iter().map(|(_, origin)| origin.cap).sum();
             reach == Reach::Region
                 && ((slots as usize) < self.table.edges || self.has_queued_jobs(now, &object.service))
         };
-        self.body_sizes.exceed(&lane, self.env.policy.cross_region_body_limit)
+        self.body_sizes.exceed(&route, self.env.policy.cross_region_body_limit)
             && !renewable()
             && origins.iter().any(usable)
-            && !spared()
+            && !must_spare_origins()
     }
 
     fn next_source(&self, source: Source) -> Source {
@@ -175,14 +183,14 @@
     fn send_copy_request(&mut self, now: Mono, id: u64, copy_request: CopyRequest, out: &mut Vec<Out>) {
         let ask = self.ask_id(id);
         let Some(job) = self.jobs.get(&id) else { return };
-        let (object, heads, patience) = (job.object(), job.req.heads.clone(), job.patience(now));
+        let (object, heads, patience) = (job.object(), job.req.heads.clone(), job.remaining_patience(now));
         let reach = match copy_request.source {
             Source::Home(reach) => reach,
             _ => Reach::Deployment,
         };
         // Only what is kept here can be renewed.
-        let lapsed = self.copies.peek(&object);
-        let held = lapsed.and_then(|c| c.whole.heads.get("etag")).map(str::to_string);
+        let cached = self.copies.peek(&object);
+        let held = cached.and_then(|c| c.whole.heads.get("etag")).map(str::to_string);
         let held = held.filter(|_| copy_request.source != Source::Ledger);
         self.count(match copy_request.source {
             Source::Home(Reach::Zone) => "asked of zone homes",
@@ -198,10 +206,14 @@
     pub(crate) fn copy_request_timeout(&self, copy_request: &CopyRequest) -> Span {
         let policy = &self.env.policy;
         match (copy_request.source, copy_request.last_progress_at) {
-            (_, Some(said)) => said - copy_request.asked + PROGRESS_TIMEOUT,
+            (_, Some(last_progress)) => last_progress - copy_request.asked + PROGRESS_TIMEOUT,
             (Source::Home(reach), None) => {
-                let least = if reach == Reach::Zone { policy.home } else { policy.wide_home_timeout };
-                self.answer_times.get(&reach).copied().unwrap_or_default().limit(least, MAX_HOME_TIMEOUT)
+                let min_timeout = if reach == Reach::Zone { policy.home } else { policy.wide_home_timeout };
+                self.answer_times
+                    .get(&reach)
+                    .copied()
+                    .unwrap_or_default()
+                    .limit(min_timeout, MAX_HOME_TIMEOUT)
             }
             _ => policy.home,
         }
@@ -224,16 +236,17 @@
     }
 
     /// Who was asked kept silent: the answer is still welcome, and somebody else is asked.
-    pub(crate) fn skip_silent_home(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
+    pub(crate) fn skip_unresponsive_home(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Stage::Home(copy_request) = job.stage else { return };
         job.overdue.push(copy_request);
-        let homes = job.overdue.iter().filter(|i| i.source == copy_request.source).count() as u8;
+        let homes_asked =
+            job.overdue.iter().filter(|request| request.source == copy_request.source).count() as u8;
         let widest = self.reaches().last().map(|r| Source::Home(*r));
-        let again = widest == Some(copy_request.source) && homes < MAX_WIDEST_HOMES;
+        let ask_another_home = widest == Some(copy_request.source) && homes_asked < MAX_WIDEST_HOMES;
         self.unresponsive.insert(copy_request.to, now + UNRESPONSIVE_COOLDOWN);
-        self.count(if again { "silent region homes" } else { "mute homes" });
-        if again {
+        self.count(if ask_another_home { "silent region homes" } else { "mute homes" });
+        if ask_another_home {
             self.ask_source(now, id, copy_request.source, out);
         } else {
             self.ask_next(now, id, out);
