--- a/crates/edge/src/admission.rs
+++ b/crates/edge/src/admission.rs
@@ -1,4 +1,4 @@
-//! How hard a service may be pressed: its ceiling, and the budget of retry_credit tries.
+//! Admission of requests to services: rate ceilings, borrowed tokens and the retry budget.
 use crate::edge::Edge;
 use crate::metrics::Token;
 use control_state::*;
@@ -7,9 +7,9 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
-    /// Invariant: never goes down; slices of lower epochs are not used.
+    /// Invariant: never decreases; grants of lower epochs are not used.
     pub epoch: Epoch,
-    /// Who lends now, and when it was last asked out of turn.
+    /// The leader that lends tokens, and when it was last asked outside the regular updates.
     lender: Option<Addr>,
     last_urgent_request: Mono,
     token_buckets: BTreeMap<Svc, TokenBucket>,
@@ -17,31 +17,32 @@
 
 #[derive(Debug, Default)]
 struct TokenBucket {
-    /// Of the edge's own share. Starts empty.
+    /// Tokens of the edge's own share. Starts empty.
     own: f64,
     refilled_at: Option<Mono>,
-    /// Lent requests and until when each may be used.
+    /// Borrowed tokens: until when each may be used.
     borrowed: Vec<Mono>,
-    /// First tries since the last asking, to foretell what will be wanted.
+    /// First attempts since tokens were last requested, to estimate the demand.
     recent: u32,
     requested_at: Mono,
-    /// Extra tries that may still be made.
+    /// Retries that may still be made.
     retry_credit: f64,
-    /// Requests in line that the leader was reported of and has not lent for.
+    /// Queued requests that were reported to the leader and for which it has not lent tokens.
     reported: u32,
-    /// When the leader is asked out of turn again, while some wait.
+    /// When the leader may be asked again at once, while requests are queued.
     urgent_requests: Option<UrgentRequests>,
 }
 
-/// Saved up at the most, where the deployment allows no more.
+/// Upper limit of the saved retry credit, unless the deployment allows more.
 const DEFAULT_RETRY_CREDIT_MAX: f64 = 1.0;
-/// Out of turn at most this often, and so often only for as long as a lender with something
-/// saved up would take; after that ever more seldom.
+/// Minimum time between two urgent token requests. This rate holds only for the burst, which is as
+/// long as a leader that has tokens to lend would take to answer; after that the requests back off
+/// up to the maximum interval.
 const URGENT_REQUEST_INTERVAL: Span = Span::ms(20);
 const URGENT_REQUEST_BURST: Span = Span::ms(160);
 const URGENT_REQUEST_MAX_INTERVAL: Span = Span::secs(1);
 
-/// Asking out of turn, while some wait.
+/// Urgent token requests, made while requests are queued.
 #[derive(Debug)]
 struct UrgentRequests {
     started: Mono,
@@ -49,7 +50,7 @@
 }
 
 impl TokenBucket {
-    /// Earns of the own share; tells how many lent requests were not used in time.
+    /// Adds tokens of the own share. Returns how many borrowed tokens expired unused.
     fn fill(&mut self, now: Mono, share: &Share, own_rate: f64) -> usize {
         let elapsed = self.refilled_at.map_or(Span(0), |t| now - t);
         self.refilled_at = Some(now);
@@ -63,7 +64,7 @@
         before - self.borrowed.len()
     }
 
-    /// The leader is reported how many wait.
+    /// Records how many queued requests the leader was told of.
     fn note_reported(&mut self, waiting: u32) {
         self.reported = waiting;
         if waiting == 0 {
@@ -71,10 +72,12 @@
         }
     }
 
+    /// The leader lent tokens for some of the reported requests.
     fn note_borrowed(&mut self, borrowed: u32) {
         self.note_reported(self.reported.saturating_sub(borrowed));
     }
 
+    /// Whether an urgent token request is allowed now.
     fn may_request_now(&mut self, now: Mono) -> bool {
         let start = || UrgentRequests {
             started: now,
@@ -94,8 +97,7 @@
         Some(bucket)
     }
 
-    /// Takes one request's worth, valid until the point returned. Less urgent
-    /// lanes leave lent requests to others while the line is long.
+    /// Takes one token. Returns until when it is valid, or `None` if there is none.
     pub(crate) fn spend(&mut self, now: Mono, svc: &Svc) -> Option<Mono> {
         let free = self.table.shares.get(svc).is_some_and(Share::free);
         if free {
@@ -114,7 +116,7 @@
         Some(until)
     }
 
-    /// Gives back what was not used after all.
+    /// Returns a token that was not used.
     pub(crate) fn refund(&mut self, now: Mono, svc: &Svc, until: Mono) {
         if self.table.shares.get(svc).is_some_and(Share::free) {
             return;
@@ -126,6 +128,7 @@
         });
     }
 
+    /// Counts a first attempt, which also earns retry credit.
     pub(crate) fn note_first_attempt(&mut self, now: Mono, svc: &Svc) {
         let policy = &self.env.policy;
         let max = (policy.saved / self.table.edges.max(1) as f64).max(DEFAULT_RETRY_CREDIT_MAX);
@@ -136,6 +139,7 @@
         });
     }
 
+    /// Spends the credit for one retry, if there is enough.
     pub(crate) fn take_retry_token(&mut self, now: Mono, svc: &Svc) -> bool {
         self.token_bucket(now, svc).is_some_and(|bucket| {
             let available = bucket.retry_credit >= 1.0;
@@ -144,7 +148,7 @@
         })
     }
 
-    /// What to ask of the leader: the line, and what is likely to come.
+    /// Tokens to request from the leader: for the queued requests and the expected ones.
     pub(crate) fn wants(&mut self, now: Mono) -> Vec<(Svc, u32)> {
         let mut queued: BTreeMap<Svc, u32> = BTreeMap::new();
         for job in self.jobs.values().filter(|job| job.is_queued()) {
@@ -161,7 +165,8 @@
             let expected = (bucket.recent as f64 - own_rate * elapsed).max(0.0).ceil() as u32;
             bucket.recent = 0;
             bucket.note_reported(queued.get(svc).copied().unwrap_or(0));
-            // With a line there is no telling what will come; without, as much as lately.
+            // While requests are queued the demand cannot be estimated, so only they count. Without
+            // a queue the recent demand is expected to continue.
             let needed = if bucket.reported > 0 { bucket.reported } else { expected };
             let want = needed.saturating_sub(bucket.borrowed.len() as u32);
             if want > 0 {
@@ -171,8 +176,8 @@
         wants
     }
 
-    /// Somebody waits in line: the holder is asked at once, not in turn. One that has nothing
-    /// to lend is asked ever more seldom.
+    /// A request is queued: asks the leader at once instead of with the next regular update. A
+    /// leader that has nothing to lend is asked at growing intervals.
     pub(crate) fn request_tokens_now(&mut self, now: Mono, svc: &Svc, out: &mut Vec<Out>) {
         let Some(to) = self
             .admission
@@ -189,6 +194,7 @@
         out.push(self.follow.sub(now, to, &wants, self.admission.epoch));
     }
 
+    /// Takes the tokens lent in a controller's reply and starts queued jobs.
     pub(crate) fn accept_borrowed_tokens(&mut self, now: Mono, from: Addr, r: &Reply, out: &mut Vec<Out>) {
         if r.epoch < self.admission.epoch || r.epoch == Epoch(0) {
             return;
--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -1,5 +1,5 @@
-//! How answers of other processes find the question they belong to. One that belongs to
-//! none is dropped and counted.
+//! Matches answers from other processes to the requests they belong to. An answer that belongs to
+//! no request is dropped and counted.
 use crate::copies::Copy;
 use crate::edge::Edge;
 use crate::jobs::Stage;
@@ -9,22 +9,22 @@
 use primitives::{Addr, Mono, Span};
 use std::sync::Arc;
 
-/// Counts answers to a question of another life, or of another node.
+/// Counts answers to a request of another incarnation or another node.
 const OTHER_INCARNATION: &str = "answers to another life";
-/// Counts answers that nobody waits for: repeated, too late, or from one not asked.
+/// Counts answers that are not expected: repeated, too late, or from a process that was not asked.
 pub(crate) const UNEXPECTED_ANSWER: &str = "answers nobody waits for";
 
-/// An answer of one who knew other purges is used for so long after the question: a purge that it
-/// lacked was not acknowledged by then, or not long ago.
+/// How long after the request an answer may be used if its sender knows a different set of purges.
+/// A purge that the sender lacked was then not yet acknowledged, or only just.
 const PURGE_MISMATCH_TTL: Span = Span::secs(1);
 
 impl Edge {
-    /// The name under which a question of this life goes out.
+    /// The identifier under which a request of this incarnation is sent.
     pub(crate) fn ask_id(&self, n: u64) -> RequestId {
         RequestId { birth: self.follow.env.birth, n }
     }
 
-    /// The number of the question, if this very life asked it.
+    /// The number of the request, if this incarnation sent it.
     pub(crate) fn own_request(&mut self, ask: RequestId) -> Option<u64> {
         if ask.birth != self.follow.env.birth {
             self.count(OTHER_INCARNATION);
@@ -33,7 +33,7 @@
         Some(ask.n)
     }
 
-    /// The job of a round, if this very life of this node began it.
+    /// The job of an attempt, if this incarnation of this node started it.
     pub(crate) fn own_round(&mut self, round: RoundId) -> Option<u64> {
         if round.node != self.follow.env.id {
             self.count(OTHER_INCARNATION);
@@ -42,7 +42,7 @@
         self.own_request(RequestId { birth: round.birth, n: round.n })
     }
 
-    /// A ledger takes the copy: with what is left of its life at this moment.
+    /// A ledger accepts an offered copy: sends it with its remaining time-to-live.
     pub(crate) fn on_disk_cache_want(
         &mut self,
         now: Mono,
@@ -64,6 +64,7 @@
         }
     }
 
+    /// The home is working on the request: extends its time-out.
     pub(crate) fn on_copy_pending(&mut self, now: Mono, from: Addr, ask: RequestId) {
         let Some(id) = self.own_request(ask) else { return };
         let Some((copy_request, _)) = self.find_copy_request(id, from) else {
@@ -78,8 +79,8 @@
         matching.into_iter().for_each(|request| request.last_progress_at = Some(now));
     }
 
-    /// The question of a job that this answers, if it still waits for it: the last one, or an
-    /// earlier one that was overdue.
+    /// The request of a job that this answers, if the job still waits for it, and whether it is the
+    /// current one rather than an earlier, overdue one.
     fn find_copy_request(&self, id: u64, from: Addr) -> Option<(CopyRequest, bool)> {
         let job = self.jobs.get(&id)?;
         let current = match job.stage {
@@ -91,6 +92,7 @@
         current.or(overdue.map(|request| (*request, false)))
     }
 
+    /// An answer to a copy request: serves the waiting callers or turns to another source.
     pub(crate) fn on_copy_result(
         &mut self,
         now: Mono,
@@ -104,16 +106,16 @@
             return self.count(UNEXPECTED_ANSWER);
         };
         self.note_answer_time(now, &copy_request);
-        // It is slow, not gone.
+        // The home is slow, not gone.
         self.unresponsive.remove(&from);
         let Some(job) = self.jobs.get(&id) else { return };
         let (usable, object, route) =
             (!job.invalidated && self.leased(now), job.object(), job.req.lane.clone());
         let disk_cacheable = job.row.ttl >= MIN_DISK_CACHE_TTL;
         let from_ledger = copy_request.source == Source::Ledger;
-        // A ledger has looked at its copy's mark itself.
+        // A ledger has checked the purge mark of its copy itself.
         let same_purges = from_ledger || purges == self.current_purge_digest();
-        // The copy's rest of life counts from when it was asked for.
+        // The remaining time-to-live counts from the time of the request.
         let is_fresh = |left: Span| usable && copy_request.asked + left > now;
         let expired_in_transit = match &reply {
             CopyReply::Got(c) => usable && !is_fresh(c.left),
@@ -135,7 +137,7 @@
                     (copy_request.asked + c.left).min(self.leased_until()),
                 );
                 self.count(if from_ledger { "filled from ledgers" } else { "filled from homes" });
-                // Whoever knew other purges may have shown what one of them took.
+                // A sender that knew other purges may have sent a copy that one of them covers.
                 let storable = same_purges && c.whole.status == 200;
                 self.body_sizes.note(&route, c.whole.size());
                 let non_home = !self.is_beyond_home_tier(copy_request.source);
@@ -157,12 +159,12 @@
                         self.copies.put(object, copy.clone());
                         self.serve_copy(now, id, copy, out);
                     }
-                    // It left the shelf for room: the whole is wanted after all.
+                    // The copy was evicted meanwhile: the whole response is needed after all.
                     None if current => self.ask_source(now, id, copy_request.source, out),
                     None => (),
                 }
             }
-            // The home's own copy has lapsed too by now: it renews it when it is asked again.
+            // The home's own copy has expired by now too; the home revalidates it when asked again.
             _ if expired_in_transit && disk_cacheable && current => {
                 self.count("lapsed on their way");
                 self.ask_source(now, id, copy_request.source, out);
@@ -179,8 +181,8 @@
         }
     }
 
-    /// That is the word for those who waited when the home was asked; it is asked again for those
-    /// who came since, and have more time.
+    /// The home's denial is final for callers that were waiting when it was asked. It is asked
+    /// again for callers that came later and have more time.
     fn on_home_at_ceiling(&mut self, now: Mono, id: u64, copy_request: CopyRequest, out: &mut Vec<Out>) {
         self.deny_callers(now, id, |_, c| c.since <= copy_request.asked, out);
         if self.jobs.contains_key(&id) {
@@ -188,7 +190,8 @@
         }
     }
 
-    /// Whether only homes of some reach ask that source; who is none keeps a guest.
+    /// Whether only homes of some reach send requests to that source. An edge that is not a home
+    /// keeps the copy as `non_home`.
     fn is_beyond_home_tier(&self, source: Source) -> bool {
         source > Source::Home(if self.env.policy.near { Reach::Zone } else { Reach::Deployment })
     }
--- a/crates/edge/src/body_size.rs
+++ b/crates/edge/src/body_size.rs
@@ -1,25 +1,25 @@
-//! How large the bodies of each lane are, in the middle, as far as this edge has seen.
+//! Typical body size of each route, as observed by this edge.
 use control_state::Lane;
 use std::collections::BTreeMap;
 
-/// Weight of a new body in the mean.
+/// Weight of a new body in the moving average.
 const SMOOTHING_FACTOR: f64 = 0.05;
 
-/// Smoothed means, by lane.
+/// Exponential moving averages of body sizes in bytes, by route.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BodySizes {
     means: BTreeMap<Lane, f64>,
 }
 
 impl BodySizes {
-    /// A body of that lane was so large.
+    /// Records a body of that route.
     pub(crate) fn note(&mut self, lane: &Lane, bytes: usize) {
         let bytes = bytes as f64;
         let mean = self.means.entry(lane.clone()).or_insert(bytes);
         *mean += SMOOTHING_FACTOR * (bytes - *mean);
     }
 
-    /// Whether bodies of that lane are larger; of a lane without any nobody knows.
+    /// Whether the route's average body is larger than `bytes`; false while no body was observed.
     pub(crate) fn exceed(&self, lane: &Lane, bytes: usize) -> bool {
         self.means.get(lane).is_some_and(|mean| *mean > bytes as f64)
     }
--- a/crates/edge/src/cacheability.rs
+++ b/crates/edge/src/cacheability.rs
@@ -1,5 +1,5 @@
-//! Whether an answer may be shared, and for how long: by RFC 9111, through a
-//! library, and stricter where a copy's name lacks what an answer depends on.
+//! Whether a response may be shared between callers, and for how long. Follows RFC 9111 through a
+//! library, and is stricter where the cache key lacks something that a response depends on.
 use crate::edge::Edge;
 use crate::jobs::Caller;
 use control_state::*;
@@ -8,16 +8,16 @@
 use primitives::{Mono, Span};
 use std::time::UNIX_EPOCH;
 
-/// What an origin's answer says of itself.
+/// What a response permits.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Cacheability {
-    /// For its own caller only; nobody else may get these bytes.
+    /// For the caller that requested it only; no other caller may receive these bytes.
     pub personal: bool,
-    /// For everybody, credentials or not.
+    /// For every caller, with credentials or not.
     pub public: bool,
-    /// How long a copy may live, at most the row's time; nought is no copy.
+    /// How long a copy may be used, at most the route's time-to-live. Zero: not cached.
     pub ttl: Span,
-    /// How old it was when it came.
+    /// Age of the response when it arrived.
     pub current_age: Span,
 }
 
@@ -37,13 +37,14 @@
     values.flat_map(|v| v.split(',')).map(|d| d.trim().to_ascii_lowercase()).collect()
 }
 
-/// Fills send no `Accept-Encoding`, so an answer may vary by that one alone.
+/// Fetches for the cache send no `Accept-Encoding`, so a response may vary by that one header.
 fn varies_beyond_encoding(headers: &HeaderMap) -> bool {
     let values = headers.get_all("vary").iter().flat_map(|v| v.as_bytes().split(|b| *b == b','));
     let mut names = values.map(|n| String::from_utf8_lossy(n).trim().to_ascii_lowercase());
     names.any(|n| !n.is_empty() && n != "accept-encoding")
 }
 
+/// Judges the response to `req`; `row_ttl` is the route's time-to-live.
 pub(crate) fn cacheability(req: &CallerRequest, response: &Whole, row_ttl: Span) -> Cacheability {
     let headers = header_map(&response.heads);
     let directives = directives(&headers);
@@ -54,8 +55,8 @@
     let mut http_response = Response::builder().status(response.status).body(()).unwrap_or_default();
     *http_response.headers_mut() = headers.clone();
     let options = CacheOptions { shared: true, cache_heuristic: 0.0, ..CacheOptions::default() };
-    // Lives are counted on monotonic clocks; the library only subtracts dates of
-    // the answer from one another, so any moment does as its "now".
+    // Lifetimes are counted on monotonic clocks. The library only subtracts the response's dates
+    // from one another, so any time will do as its current time.
     let policy = CachePolicy::new_options(&request, &http_response, UNIX_EPOCH, options);
     let has_lifetime =
         has_directive("max-age") || has_directive("s-maxage") || headers.contains_key("expires");
@@ -79,12 +80,12 @@
     Cacheability { personal, public, ttl, current_age: Span::secs(age) }
 }
 
-/// How long an object counts as not for sharing.
+/// How long an object counts as not cacheable after such a response.
 const UNSHARED_TTL: Span = Span::secs(10);
 
 impl Edge {
-    /// The answer is not for sharing: the first caller has it, if it was fetched
-    /// here for that one; all others are answered by the origin, each by itself.
+    /// The response must not be shared. The first caller gets it if it was fetched by this edge for
+    /// that caller; the requests of all others go to the origin one by one.
     pub(crate) fn split_unshared_callers(
         &mut self,
         now: Mono,
--- a/crates/edge/src/claim.rs
+++ b/crates/edge/src/claim.rs
@@ -1,34 +1,36 @@
-//! A claim of a key at the ledgers that are its replicas.
+//! Claim of an idempotency key at the ledgers that are its replicas.
 use control_state::*;
 use primitives::{Addr, Backoff, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A key claimed for one round.
+/// A key claimed for one attempt.
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
     pub round: RoundId,
     pub key: String,
     pub fingerprint: Fingerprint,
-    /// The key's ledgers, for each set of the roll as it was when it was claimed.
+    /// The key's ledgers in each ledger set, as the sets were when the key was claimed.
     pub replica_sets: Vec<Vec<Addr>>,
-    /// The version of that roll.
+    /// Version of those ledger sets.
     pub ledger_sets_version: Version,
-    /// Who had granted it when it was won.
+    /// Ledgers that had granted the claim when it was won.
     pub granted: BTreeSet<Addr>,
-    /// When ledgers that keep silent are asked again.
+    /// When ledgers that have not answered are asked again.
     pub retry: Backoff,
 }
 
 impl Claim {
+    /// All ledgers at which the key is claimed.
     pub fn ledgers(&self) -> BTreeSet<Addr> {
         self.replica_sets.iter().flatten().copied().collect()
     }
+    /// The message that claims the key at a ledger.
     pub fn ask(&self, ledger: Addr) -> Out {
         let (key, print, round, roll) =
             (self.key.clone(), self.fingerprint, self.round, self.ledger_sets_version);
         Out::Send(ledger, Msg::Claim { key, print, round, roll })
     }
-    /// A quorum granted it, in every set.
+    /// Whether a quorum of every ledger set granted the claim.
     pub fn won(&self, votes: &BTreeMap<Addr, Claimed>, losses: usize) -> bool {
         let granted = |a: &&Addr| votes.get(a) == Some(&Claimed::Granted);
         !self.replica_sets.is_empty()
--- a/crates/edge/src/copies.rs
+++ b/crates/edge/src/copies.rs
@@ -3,20 +3,19 @@
 use primitives::{Mono, Span};
 use std::sync::Arc;
 
-/// How long a copy that may not be served any more is kept to ask whether it still
-/// is what the origin has.
+/// How long an expired copy with an `ETag` is kept, so that it can be revalidated with the origin.
 const REVALIDATION_RETENTION: Span = Span::secs(60);
 
 #[derive(Clone, Debug)]
 pub(crate) struct Copy {
     pub whole: Arc<Whole>,
-    /// For everybody, whatever credentials they send.
+    /// For every caller, whatever credentials it sends.
     pub public: bool,
-    /// Its age counts from here.
+    /// The time from which its age counts.
     pub since: Mono,
-    /// Invariant: not served after this; set when the fill began.
+    /// Invariant: not served after this. Set from the time when the fetch began.
     pub until: Mono,
-    /// Others are its homes: it makes room for what this edge is a home of.
+    /// Other edges are the homes of this object: evicted before copies that this edge is a home of.
     pub non_home: bool,
 }
 
@@ -41,6 +40,7 @@
 }
 
 impl Copy {
+    /// The copy as sent to another process, usable until `until`.
     pub fn to_transfer(&self, now: Mono, until: Mono) -> TransferredCopy {
         let (whole, current_age) = ((*self.whole).clone(), now - self.since);
         TransferredCopy { whole, left: until - now, current_age, public: self.public }
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -16,72 +16,78 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What an edge is told about itself.
+/// Settings of one edge.
 #[derive(Clone, Debug)]
 pub struct EdgeEnv {
     pub follow: FollowerEnv,
-    /// An origin unheard for this long is not used.
+    /// An origin without a heartbeat or a successful probe for this long is not used.
     pub fresh: Span,
-    /// How long an origin may take over an answer.
+    /// How long an origin may take to answer, where no configuration entry sets a time-out.
     pub patience: Span,
-    /// Bytes of copies kept.
+    /// Size limit of the cached copies, in bytes.
     pub copies: usize,
-    /// Requests held at a time, of one service and in all.
+    /// Limits on in-flight requests: of one service, and in total.
     pub hands: (usize, usize),
-    /// How long requests are still taken once it leaves, for callers to notice.
+    /// How long an edge that is leaving still accepts requests, so that callers have time to
+    /// notice.
     pub grace: Span,
-    /// Lost disks of ledgers borne at once; the same at every edge and ledger.
+    /// Number of ledger disks that may be lost at once; the same on every edge and ledger.
     pub losses: usize,
-    /// Copies are offered to ledgers and asked of them.
+    /// Whether copies are offered to, and requested from, the ledgers' disk caches.
     pub disk_cache: bool,
-    /// A granted round must leave within this; the same at every edge and ledger.
+    /// An attempt whose key was granted must be sent within this time; the same on every edge and
+    /// ledger.
     pub leave: Span,
-    /// The controller in the same process, if there is one: it is told who the members are.
+    /// The controller in the same process, if there is one; it is sent the membership.
     pub controller: Option<Addr>,
+    /// Behaviour that a deployment may choose.
     pub policy: EdgePolicy,
 }
 
+/// The decision state of one edge. It is driven by [`Part::step`].
 pub struct Edge {
     pub(crate) env: EdgeEnv,
     pub(crate) follow: Follower,
-    /// Built from what `follow` holds whenever that changes.
+    /// Derived from the items in `follow`; rebuilt whenever they change.
     pub(crate) table: Arc<Table>,
-    /// The lease ran out at some time since the copies were last dropped.
+    /// The lease has expired since the copies were last discarded.
     pub(crate) lapsed: bool,
     pub(crate) had_lease_quorum: bool,
     pub(crate) origin_health: OriginHealth,
     pub(crate) admission: Admission,
     pub(crate) copies: Copies,
     pub(crate) jobs: BTreeMap<u64, Job>,
-    /// The job that fills each object now.
+    /// The job that is fetching each object.
     pub(crate) fills: BTreeMap<Object, u64>,
     pub(crate) rounds: BTreeMap<u64, u64>,
-    /// Of all purges known, unless one came since it was last asked for.
+    /// Digest of all known purges; `None` after a purge arrived, until it is needed again.
     pub(crate) purge_digest: Option<u64>,
-    /// Copies offered to ledgers, by the job that filled them.
+    /// Copies offered to ledgers, by the job that fetched them.
     pub(crate) disk_cache_offers: BTreeMap<u64, Object>,
     pub(crate) outcome_deliveries: Vec<OutcomeDelivery>,
-    /// Objects whose answers lately were not to be shared, and until when each
-    /// caller is answered by the origin.
+    /// Objects whose recent responses were not cacheable. Until the given time each caller's
+    /// request for them goes to the origin by itself.
     pub(crate) unshared: BTreeMap<Object, Mono>,
     pub(crate) body_sizes: BodySizes,
     pub(crate) purged_tags: PurgedTags,
-    /// How long homes take to answer, by their reach.
+    /// Response times of homes, by reach.
     pub(crate) answer_times: BTreeMap<Reach, ResponseTimeEstimator>,
-    /// Edges that lately did not answer.
+    /// Edges and ledgers that recently did not answer, and until when they are skipped.
     pub(crate) unresponsive: BTreeMap<Addr, Mono>,
     pub(crate) forwarded_calls: ForwardedCalls,
     pub(crate) local_controller: LocalControllerState,
-    /// When the copies were last looked through.
+    /// When expired copies were last removed.
     last_sweep: Mono,
     pub(crate) last_number: u64,
-    /// Since when it leaves: not ready at once, but taking requests for the grace.
+    /// When the edge began to leave: it reports not ready at once, but accepts requests for
+    /// `grace`.
     pub(crate) leaving_since: Option<Mono>,
     pub(crate) counters: BTreeMap<&'static str, u64>,
     pub(crate) metrics: EdgeMetrics,
 }
 
 impl Edge {
+    /// An edge without configuration, copies or lease.
     pub fn new(env: EdgeEnv) -> Edge {
         Edge {
             table: Arc::new(Table::default()),
@@ -105,8 +111,8 @@
             forwarded_calls: ForwardedCalls::default(),
             local_controller: LocalControllerState::default(),
             last_sweep: Mono(0),
-            // Lives begin at different numbers, for some choices are spread by them.
-            // Answers find their questions by the life as well, see `answers`.
+            // Each incarnation starts at a different number, because some choices are spread by it.
+            // Answers are matched to requests by incarnation as well, see `answers`.
             last_number: env.follow.birth.0 << 20,
             leaving_since: None,
             counters: BTreeMap::new(),
@@ -115,11 +121,12 @@
         }
     }
 
+    /// The control-state items known here.
     pub fn items(&self) -> &BTreeMap<Key, Item> {
         &self.follow.items
     }
 
-    /// Its figures, to be entered into a registry.
+    /// The edge's metrics, for a registry. The clone counts into the same values.
     pub fn metrics(&self) -> EdgeMetrics {
         self.metrics.clone()
     }
@@ -133,16 +140,19 @@
         self.last_number
     }
 
-    /// Until when the setup lease holds: a classic quorum of controllers carries it.
+    /// Until when the configuration lease is valid. It is renewed by a classic quorum of
+    /// controllers.
     pub fn leased_until(&self) -> Mono {
         self.follow.leased_until()
     }
 
+    /// Whether the configuration lease is valid at `now`.
     pub fn leased(&self, now: Mono) -> bool {
         self.follow.leased(now)
     }
 
-    /// Holds all that is in force, serving on or not.
+    /// Whether a quorum of controllers renews the lease, so that everything in force is known here.
+    /// An edge that serves without a lease may be out of touch.
     pub fn in_touch(&self, now: Mono) -> bool {
         self.follow.lease_quorum_until() > now
     }
@@ -157,7 +167,7 @@
 
     fn health(&self, now: Mono) -> Health {
         let (leaving, drained) = (self.leaving_since.is_some(), self.drained(now));
-        // One that serves on out of touch does so for callers that have nowhere else to go.
+        // An edge that serves while out of touch does so only for callers that cannot go elsewhere.
         let has_quorum = self.in_touch(now);
         let why = match (drained, leaving, has_quorum) {
             (true, ..) => "draining",
--- a/crates/edge/src/expiry.rs
+++ b/crates/edge/src/expiry.rs
@@ -1,11 +1,11 @@
-//! Waits that have gone on too long.
+//! Expiry of jobs and callers that have waited too long.
 use crate::edge::Edge;
 use crate::jobs::{Job, Stage, Waiting, CLAIM_TIMEOUT};
 use control_state::*;
 use primitives::{Mono, Span};
 
 impl Edge {
-    /// Gives up what has waited too long, or turns to somebody else.
+    /// Denies jobs that have waited too long, or turns to another source.
     pub(crate) fn expire_jobs(&mut self, now: Mono, out: &mut Vec<Out>) {
         let ids: Vec<u64> = self.jobs.keys().copied().collect();
         for id in ids {
@@ -21,7 +21,7 @@
                 }
                 Stage::Claim(_) if waited > CLAIM_TIMEOUT => self.count_votes(now, id, true, out),
                 Stage::Claim(_) => self.retry_claim(now, id, out),
-                // The executor answers for its rounds; this is for one that died.
+                // The executor reports every attempt; this covers an executor that died.
                 Stage::Out(round, _) if now > round.answer_deadline + Span::secs(5) => {
                     let n = round.n;
                     self.done(now, n, FetchOutcome::Lost, out);
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Tells those who cannot wait as long as others for the same fill.
+    /// Denies callers whose deadline comes before that of others waiting for the same fetch.
     fn expire_callers(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         let deadline = |job: &Job, c: &Waiting| match job.stage {
             Stage::Queued => job.queue_deadline(c),
@@ -41,7 +41,7 @@
         self.deny_callers(now, id, |job, c| now >= deadline(job, c), out);
     }
 
-    /// Denies these callers; the job ends with the last of them.
+    /// Denies the selected callers. If these are all of them, the job ends.
     pub(crate) fn deny_callers(
         &mut self,
         now: Mono,
--- a/crates/edge/src/fill_progress.rs
+++ b/crates/edge/src/fill_progress.rs
@@ -1,15 +1,15 @@
-//! Edges that wait here for a fill hear again and again that this one is at it: without that they
-//! could not tell a home that died from one whose origin is slow.
+//! Progress messages to edges that wait here for a fetch. Without them, a waiting edge could not
+//! tell a home that died from one whose origin is slow.
 use crate::edge::Edge;
 use crate::jobs::{Caller, Waiting};
 use control_state::*;
 use primitives::{Mono, Span};
 
-/// Who has waited for so long is told again.
+/// Callers that have waited at least this long receive progress messages.
 const PROGRESS_INTERVAL: Span = Span::ms(400);
 
 impl Edge {
-    /// Tells edges that wait for a fill that it is being worked on.
+    /// Tells waiting edges that the fetch is still in progress.
     pub(crate) fn send_fill_progress(&self, now: Mono, out: &mut Vec<Out>) {
         let long = |w: &&Waiting| now - w.since >= PROGRESS_INTERVAL;
         let waiting = self.jobs.values().flat_map(|job| &job.callers).filter(long);
--- a/crates/edge/src/forwarded_calls.rs
+++ b/crates/edge/src/forwarded_calls.rs
@@ -1,23 +1,24 @@
-//! ForwardedCalls: what any node is asked of the control state, passed on to a controller
-//! that can answer, and on to the next one if it does not in time.
+//! Forwarded calls: requests to the control state that any node may receive. They are passed to a
+//! controller that can answer, and to the next one if there is no answer in time.
 use crate::edge::Edge;
 use control_state::*;
 use primitives::{Addr, Backoff, Mono, Span, Token};
 use std::collections::BTreeMap;
 
-/// Invariant: whatever is asked may be asked twice: edits and beats carry versions,
-/// purges and readings repeat without harm.
+/// Invariant: every call may be sent twice. Edits and heartbeats carry versions; purges and reads
+/// can be repeated without harm.
 #[derive(Debug)]
 pub(crate) struct ForwardedCall {
-    /// Who is told, and when each asked: the same edits sent again share one.
+    /// Callers to answer, and when each one asked. Repeated requests with the same edits share one
+    /// call.
     waiters: Vec<(Token, Mono)>,
     call: Call,
     began: Mono,
-    /// When the next controller is asked as well.
+    /// When the next controller is asked too.
     next: Backoff,
-    /// Controllers asked in this round.
+    /// Controllers asked since the list was last exhausted.
     asked: Vec<Addr>,
-    /// All that were asked, for the report of a slow call.
+    /// All attempts, for the report of a slow call.
     attempts: Vec<ForwardAttempt>,
     reason: &'static str,
 }
@@ -30,12 +31,14 @@
         ForwardedCall { waiters, call, began: now, next, asked: vec![], attempts: vec![], reason }
     }
 
+    /// Records that a controller is being asked.
     fn note_sent(&mut self, now: Mono, to: Addr) {
         self.asked.push(to);
         let (after, result) = (now - self.began, Attempt::Silent);
         self.attempts.push(ForwardAttempt { to, after, took: None, result });
     }
 
+    /// Records the result of the last unanswered attempt at that controller.
     fn note_answer(&mut self, now: Mono, from: Addr, result: Attempt) {
         let since_begin = now - self.began;
         let open = |a: &&mut ForwardAttempt| a.to == from && a.result == Attempt::Silent;
@@ -45,7 +48,7 @@
         }
     }
 
-    /// A line for the log if this was slow; heartbeats are too many for that.
+    /// The report of a slow or failed call, for the log. Heartbeats are too frequent to report.
     fn report(&self, now: Mono, answered: bool) -> Option<Out> {
         let what = match &self.call {
             Call::Read(_) => "reading",
@@ -62,16 +65,17 @@
 #[derive(Debug, Default)]
 pub(crate) struct ForwardedCalls {
     open: BTreeMap<u64, ForwardedCall>,
-    /// When each controller last answered one.
+    /// When each controller last answered a forwarded call.
     last_answers: BTreeMap<Addr, Mono>,
 }
 
-/// How long one controller may take before another is asked as well.
+/// How long one controller may take before another one is asked too.
 const NEXT_CONTROLLER_DELAY: Span = Span::ms(350);
-/// More of it for each edit of a call, since a large one is long on its way; and the most.
+/// Added to that delay for each edit of a call, because a large call takes longer to transfer; and
+/// the maximum of the sum.
 const DELAY_PER_EDIT: Span = Span::ms(2);
 const MAX_CONTROLLER_DELAY: Span = Span::ms(1400);
-/// Between two controllers, at the most: all of them may be slow rather than one lost.
+/// Longest pause between two controllers: possibly all of them are slow rather than one lost.
 const MAX_CONTROLLER_BACKOFF: Span = Span::ms(1400);
 
 fn next_controller_delay(c: &Call) -> Span {
@@ -84,6 +88,7 @@
     }
 }
 
+/// How long a caller waits for the answer to a call.
 fn call_timeout(c: &Call) -> Span {
     match c {
         Call::OriginHeartbeat(_) | Call::SignOff(_) => Span::ms(900),
@@ -93,13 +98,14 @@
 }
 
 impl ForwardedCalls {
-    /// How many are open.
+    /// Number of calls in progress.
     pub(crate) fn open(&self) -> usize {
         self.open.len()
     }
 }
 
 impl Edge {
+    /// Starts a call, or joins one that carries the same edits.
     pub(crate) fn forward_call(&mut self, now: Mono, token: Token, call: Call, out: &mut Vec<Out>) {
         let is_edit = matches!(call, Call::Change(Change { op: Op::Edit(_), .. }));
         let same = self.forwarded_calls.open.values_mut().find(|forwarded| is_edit && forwarded.call == call);
@@ -111,7 +117,7 @@
         self.send_forwarded_call(now, n, out);
     }
 
-    /// The nearest controller first, then whichever answered last.
+    /// The nearest controller; among equally near ones, the one that answered last.
     fn next_controller(&self, asked: &[Addr]) -> Option<Addr> {
         let me = &self.follow.env;
         let distance = |m: &Member| (m.addr.0.ip() != me.addr.0.ip(), m.zone != me.zone);
@@ -138,7 +144,7 @@
         self.forwarded_calls.open.insert(n, forwarded);
     }
 
-    /// The state and the origins' heartbeats as this edge has them.
+    /// The control state and the origins' heartbeats as known by this edge.
     pub(crate) fn own_table(&self, now: Mono) -> NodeReply {
         let state = ControlState {
             era: self.follow.era,
@@ -150,6 +156,7 @@
         NodeReply::Table(Box::new(state), heartbeats)
     }
 
+    /// A controller's answer: reported to the waiting callers, or another controller is asked.
     pub(crate) fn on_call_answered(
         &mut self,
         now: Mono,
@@ -164,7 +171,7 @@
         if let CallAnswer::Unavailable(why) = &answer {
             forwarded.note_answer(now, from, Attempt::Declined(why.clone()));
             forwarded.reason = "no controller in reach can answer now";
-            // Everybody was asked once: the next round waiters for its turn.
+            // Once every controller was asked, the next pass waits for its time.
             let all = self.follow.members.iter().all(|m| forwarded.asked.contains(&m.addr));
             if !all {
                 self.send_forwarded_call(now, n, out);
@@ -174,11 +181,12 @@
         let mut forwarded = self.forwarded_calls.open.remove(&n).expect("found above");
         forwarded.note_answer(now, from, Attempt::Answered);
         out.extend(forwarded.report(now, true));
-        // What is held now holds what was held when this was asked.
+        // What is known now includes what was known when the call was sent.
         let reply = if answer == CallAnswer::Unchanged { self.own_table(now) } else { answer.receipt() };
         out.extend(forwarded.waiters.into_iter().map(|(t, _)| Out::Tell(t, reply.clone())));
     }
 
+    /// Answers callers that have waited too long, and asks further controllers.
     pub(crate) fn advance_forwarded_calls(&mut self, now: Mono, out: &mut Vec<Out>) {
         for forwarded in self.forwarded_calls.open.values_mut() {
             let (timeout, reason) = (call_timeout(&forwarded.call), forwarded.reason);
--- a/crates/edge/src/homes.rs
+++ b/crates/edge/src/homes.rs
@@ -1,11 +1,11 @@
-//! The edges that are homes of copies, by the reach that they are homes for.
+//! The edges that are homes of cached copies, by the reach they serve as homes for.
 use control_state::*;
 use std::collections::BTreeMap;
 
 /// Homes of each zone, of each region and of the deployment.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Homes {
-    /// How many edges serve.
+    /// Number of edges in service.
     pub edges: usize,
     by_zone: BTreeMap<Zone, Vec<EdgeNode>>,
     by_region: BTreeMap<String, Vec<EdgeNode>>,
@@ -28,8 +28,8 @@
         found
     }
 
-    /// Reaches that have homes where there are several tiers, the nearest first. A region that is
-    /// the whole deployment has no tier beyond it.
+    /// The reaches that have homes in a deployment with several tiers, nearest first. A region that
+    /// is the whole deployment has no tier above it.
     pub(crate) fn tiers(&self) -> &'static [Reach] {
         if self.by_region.len() > 1 {
             &[Reach::Zone, Reach::Region, Reach::Deployment]
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Those of a reach round a zone.
+    /// The homes of the given reach around a zone.
     pub(crate) fn within(&self, reach: Reach, zone: &Zone) -> &[EdgeNode] {
         match reach {
             Reach::Zone => self.by_zone.get(zone).map_or(&[], Vec::as_slice),
--- a/crates/edge/src/job.rs
+++ b/crates/edge/src/job.rs
@@ -1,4 +1,4 @@
-//! A request in hand: what it asks for, who waits for it, and how far it is.
+//! An in-flight request: what is requested, which callers wait for it, and its progress.
 use crate::claim::Claim;
 use crate::sources::CopyRequest;
 use control_state::*;
@@ -6,15 +6,15 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Who waits for a job's end.
+/// A caller that waits for a job.
 #[derive(Clone, Debug)]
 pub(crate) enum Caller {
     Local(Token, Arc<CallerRequest>),
-    /// Another edge, and its name for the question.
+    /// Another edge, and its identifier of the request.
     Edge(Addr, RequestId),
 }
 
-/// A caller, since when it waits, and until when: in line, and in all.
+/// A waiting caller: since when it waits, until when it may be queued, and its deadline.
 #[derive(Clone, Debug)]
 pub(crate) struct Waiting {
     pub caller: Caller,
@@ -23,75 +23,79 @@
     pub deadline: Mono,
 }
 
+/// What a job is waiting for.
 #[derive(Debug)]
 pub(crate) enum Stage {
-    /// Waits for somebody who may have a copy.
+    /// Waits for another process that may have a copy.
     Home(CopyRequest),
-    /// Waits for the ledgers' words.
+    /// Waits for the votes of the ledgers.
     Claim(BTreeMap<Addr, Claimed>),
-    /// Waits in line for leave to press the service.
+    /// Queued for a token of the service.
     Queued,
-    /// A round is out; its number, where, until when it might have left.
+    /// An attempt is in progress, with the time until which its token was valid.
     Out(Box<Round>, Mono),
 }
 
+/// A request being processed, with all callers that wait for its result.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub req: CallerRequest,
     pub svc: Svc,
-    /// As it was when the request came, whatever becomes of the lane.
+    /// As of the time of the request, whatever happens to the route afterwards.
     pub site: Site,
     pub row: Row,
-    /// The lane's, not the row's.
+    /// The kind of the route, not of the row.
     pub kind: Kind,
     pub callers: Vec<Waiting>,
     pub stage: Stage,
     pub stage_since: Mono,
-    /// Rounds of which bytes may have reached an origin.
+    /// Attempts of which bytes may have reached an origin.
     pub sent_attempts: u32,
-    /// Rounds that found no way out.
+    /// Attempts that could not be sent.
     pub unsent_attempts: u32,
     pub tried_origins: Vec<(Addr, Birth)>,
-    /// A purge (or a lapse) came in between: what was fetched before is not used.
+    /// A purge or an expired lease came in between: what was fetched before must not be used.
     pub invalidated: bool,
-    /// Readable, but for its one caller alone: no copy is used or joined.
+    /// A read for a single caller: no cached copy is used, and no other fetch is joined.
     pub unshared: bool,
-    /// The whole is asked for, whatever copy there was.
+    /// The whole response is requested, even if there is a copy to revalidate.
     pub unconditional: bool,
-    /// It is filled for others, as the home of that reach.
+    /// The fetch is made for other edges, as the home of that reach.
     pub home_reach: Option<Reach>,
-    /// Whoever was asked for a copy and has kept silent so far.
+    /// Earlier copy requests that have not been answered yet.
     pub overdue: Vec<CopyRequest>,
-    /// Keyed only: what was claimed of which ledgers.
+    /// Keyed requests only: the claim of the key.
     pub claim: Option<Claim>,
-    /// Keyed only. Invariant: nothing leaves after this, however long we froze.
+    /// Keyed requests only. Invariant: nothing is sent after this, however long the process was
+    /// suspended.
     pub send_deadline: Mono,
-    /// Served in time until then.
+    /// Answered in time if answered before this.
     pub target_deadline: Mono,
-    /// Given up after this: the latest of its callers'.
+    /// The job is denied after this: the latest deadline of its callers.
     pub deadline: Mono,
-    /// Origins it may be sent to.
+    /// Limit on attempts at origins.
     pub max_attempts: u32,
-    /// Rounds that origins say they did not run.
+    /// Attempts that origins report not to have executed.
     pub refused_attempts: u32,
 }
 
 impl Job {
+    /// The cache key of the requested content.
     pub fn object(&self) -> Object {
         Object { service: self.svc.clone(), site: self.site.clone(), path: self.req.path.clone() }
     }
 
-    /// It is worked on for as long as any of its callers waits.
+    /// Adds callers. The job continues for as long as any of them waits.
     pub fn join(&mut self, callers: &[Waiting]) {
         self.deadline = callers.iter().map(|c| c.deadline).fold(self.deadline, Mono::max);
         self.callers.extend(callers.iter().cloned());
     }
 
-    /// Whether running it twice does no harm.
+    /// Whether executing the request twice does no harm.
     pub fn safe(&self) -> bool {
         match self.kind {
             Kind::Read => true,
-            // What the configuration calls repeatable is, whatever its method.
+            // Requests that the configuration declares repeatable are, whatever their method.
             Kind::Plain => self.req.host.is_some() || is_safe_method(&self.req.method),
             Kind::Once | Kind::Keyed => false,
         }
--- a/crates/edge/src/jobs.rs
+++ b/crates/edge/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Requests in hand, from the first look to the last word.
+//! In-flight requests, from admission to the final answer.
 use crate::edge::Edge;
 pub(crate) use crate::job::*;
 use crate::read::DELIVERY_MARGIN;
@@ -6,18 +6,21 @@
 use primitives::{Mono, Span, Token};
 use std::sync::Arc;
 
-/// Methods that act, so that running once matters.
+/// Methods that change state, for which executing a request only once matters.
 const KEYED_METHODS: [&str; 4] = ["POST", "PUT", "PATCH", "DELETE"];
-/// In time, where nobody says what is.
+/// Answers within this time are in time, where the configuration sets no target.
 const DEFAULT_LATENCY_TARGET: Span = Span::secs(1);
+/// How long the ledgers may take to vote on a claim before the votes are counted.
 pub(crate) const CLAIM_TIMEOUT: Span = Span::ms(400);
 
 impl Edge {
+    /// A new request from a caller of this edge.
     pub(crate) fn begin(&mut self, now: Mono, token: Token, req: CallerRequest, out: &mut Vec<Out>) {
         self.count("requests");
         self.dispatch(now, token, Arc::new(req), out);
     }
 
+    /// Admits the request and starts its job, or denies it.
     pub(crate) fn dispatch(&mut self, now: Mono, token: Token, req: Arc<CallerRequest>, out: &mut Vec<Out>) {
         let caller = Caller::Local(token, req.clone());
         match self.admit(now, (*req).clone()) {
@@ -37,7 +40,7 @@
         }
     }
 
-    /// A job for the request, or why it is denied.
+    /// Creates a job for the request, or returns why it is denied.
     pub(crate) fn admit(&mut self, now: Mono, req: CallerRequest) -> Result<Job, Denied> {
         let require = |ok: bool, reason: Denied| ok.then_some(()).ok_or(reason);
         require(!self.drained(now), Denied::Leaving)?;
@@ -51,14 +54,14 @@
         require(kind != Kind::Read || is_safe_method(&req.method), Denied::BadMethod)?;
         require(kind != Kind::Keyed || KEYED_METHODS.contains(&req.method.as_str()), Denied::BadMethod)?;
         require(kind != Kind::Keyed || req.key.is_some(), Denied::NoKey)?;
-        // One object, and one key, always meets the same service.
+        // The same object, and the same key, always goes to the same service.
         let selector = match kind {
             Kind::Read => primitives::hash(&req.path),
             Kind::Keyed => primitives::hash(&req.key),
             Kind::Plain | Kind::Once => self.number().wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 16,
         };
         let (svc, row) = self.table.pick(&req.lane, selector).ok_or(Denied::NoOrigin)?;
-        // One service that hangs leaves room for the others.
+        // A service that hangs must not take the capacity of the others.
         let in_flight = self.jobs.values().filter(|job| job.svc == svc).count();
         let max_wait = entry.as_ref().map_or(self.env.patience, |e| e.timeout);
         let deadline = now + req.left.map_or(max_wait, |left| left.min(max_wait));
@@ -89,6 +92,7 @@
         })
     }
 
+    /// Sends a caller the result of its job.
     pub(crate) fn answer_caller(&mut self, now: Mono, caller: &Caller, step: Step, out: &mut Vec<Out>) {
         match (caller, step) {
             (Caller::Local(token, _), step) => {
@@ -118,7 +122,7 @@
                 };
                 let reply = match step {
                     Step::Serve(response, AnswerSource::Own, _) => CopyReply::Own(Box::new(response.kept())),
-                    // The time that an answer may be on its way out is no part of a copy's life.
+                    // The time allowed for delivery is not part of a copy's time-to-live.
                     Step::Serve(response, AnswerSource::Copy(current_age), until) => {
                         transferred(&response, until - DELIVERY_MARGIN, current_age)
                     }
@@ -131,7 +135,7 @@
         }
     }
 
-    /// The job's last word, to all who wait for it.
+    /// Ends the job and answers all its callers.
     pub(crate) fn finish(&mut self, now: Mono, id: u64, step: Step, out: &mut Vec<Out>) {
         if let Some(job) = self.jobs.remove(&id) {
             self.metrics.note_wait(&job.stage, now - job.stage_since);
@@ -145,12 +149,14 @@
         }
     }
 
-    /// Denied means that nothing went out; after a try that did, it is doubt.
+    /// Denies the request if nothing was sent. After an attempt that may have reached an origin the
+    /// outcome is unknown.
     pub(crate) fn deny(&mut self, now: Mono, id: u64, reason: Denied, out: &mut Vec<Out>) {
         let step = self.denial(id, reason);
         self.finish(now, id, step, out);
     }
 
+    /// The answer of a denied job, see `deny`.
     pub(crate) fn denial(&self, id: u64, reason: Denied) -> Step {
         let sent = self.jobs.get(&id).is_some_and(|job| job.sent_attempts > 0);
         if sent {
--- a/crates/edge/src/keyed.rs
+++ b/crates/edge/src/keyed.rs
@@ -1,5 +1,5 @@
-//! Keyed requests: a quorum of the key's ledgers must grant it, synced, before
-//! anything leaves.
+//! Requests with an idempotency key: a quorum of the key's ledgers must grant the key, synced to
+//! disk, before anything is sent to an origin.
 use crate::answers::UNEXPECTED_ANSWER;
 use crate::claim::Claim;
 use crate::edge::Edge;
@@ -9,21 +9,22 @@
 use primitives::{Addr, Backoff, Birth, Mono, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long after a lease keys are claimed, where an edge serves on without one.
+/// How long after the lease expired keys may still be claimed, on an edge that serves without a
+/// lease.
 const CLAIM_GRACE: Span = Span::secs(5);
-/// The first and the longest pause after which silent ledgers are asked again.
+/// The first and the longest pause after which ledgers that have not voted are asked again.
 const CLAIM_RETRY_DELAYS: (Span, Span) = (Span::ms(120), Span::ms(480));
 impl Edge {
-    /// Only under a lease that holds or lapsed a moment ago: a set of ledgers loses its
-    /// force a window after every lease that knew no newer one, and claims of before
-    /// must have lost theirs by then.
+    /// Claims the key. This requires a lease that is valid or expired only recently: a ledger set
+    /// stops being in force one window after every lease that knew no newer set, and claims made
+    /// before must have become void by then.
     pub(crate) fn claim(&mut self, now: Mono, mut job: Job, out: &mut Vec<Out>) {
         if self.follow.lease_quorum_until() + CLAIM_GRACE <= now {
             let caller = job.callers.remove(0).caller;
             let retry_after = self.retry_after(Denied::NoLease);
             return self.answer_caller(now, &caller, Step::Deny(Denied::NoLease, retry_after), out);
         }
-        // Lanes of a host come, go and are renamed while their callers' keys stay the same.
+        // Routes of a host are added, removed and renamed while their callers' keys stay the same.
         let key = format!("{}/{}", job.site.0, job.req.key.as_deref().unwrap_or(""));
         let fingerprint = Fingerprint::of(&job.req.method, &job.req.path, &job.req.heads, &job.req.body);
         let id = self.number();
@@ -50,7 +51,7 @@
         self.count_votes(now, id, false, out);
     }
 
-    /// A claim or its answer may be lost with a link; asking again changes nothing.
+    /// A claim or its answer may be lost with a connection. Repeating the claim changes nothing.
     pub(crate) fn retry_claim(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let (Stage::Claim(votes), Some(claim)) = (&job.stage, &mut job.claim) else { return };
@@ -60,9 +61,8 @@
         }
     }
 
-    /// A word that comes after the count changes nothing: a denied round was
-    /// released after its claim on the same link, and a round that went out
-    /// keeps its key.
+    /// A vote that arrives after the count changes nothing: a denied attempt was released after its
+    /// claim on the same connection, and an attempt that was sent keeps its key.
     pub(crate) fn on_claimed(
         &mut self,
         now: Mono,
@@ -84,6 +84,7 @@
         }
     }
 
+    /// Decides the claim if the votes suffice, or if it has timed out.
     pub(crate) fn count_votes(&mut self, now: Mono, id: u64, timed_out: bool, out: &mut Vec<Out>) {
         let Some(job) = self.jobs.get(&id) else { return };
         let (Stage::Claim(votes), Some(claim)) = (&job.stage, &job.claim) else { return };
@@ -108,7 +109,7 @@
             self.record_grants(id);
             self.enqueue_job(now, id, out);
         } else if held && (complete || timed_out) {
-            // Another round has the key and its outcome is not known (yet).
+            // Another attempt holds the key, and its outcome is not (yet) known.
             self.release_job(id, out);
             let has_host = self.jobs.get(&id).is_some_and(|job| job.req.host.is_some());
             if has_host {
@@ -120,6 +121,7 @@
         }
     }
 
+    /// Stores which ledgers granted the claim.
     fn record_grants(&mut self, id: u64) {
         let Some(Job { stage: Stage::Claim(votes), claim: Some(claim), .. }) = self.jobs.get_mut(&id) else {
             return;
@@ -135,7 +137,7 @@
         }
     }
 
-    /// The round will never be sent: its key is free again.
+    /// The attempt will never be sent, so its key is released.
     pub(crate) fn release(&mut self, job: &Job, out: &mut Vec<Out>) {
         if let Some(claim) = job.claim.as_ref().filter(|_| job.sent_attempts == 0) {
             let release = |a| Out::Send(a, Msg::Release { key: claim.key.clone(), round: claim.round });
@@ -143,7 +145,7 @@
         }
     }
 
-    /// It ran: the outcome goes to the key's ledgers and to the caller.
+    /// The request was executed: the outcome goes to the key's ledgers and to the caller.
     pub(crate) fn finish_keyed(
         &mut self,
         now: Mono,
@@ -169,15 +171,15 @@
         self.finish(now, id, step, out);
     }
 
-    /// All ledgers that may hold the grant: those it was claimed from, and those that
-    /// took it over because the set has changed since.
+    /// All ledgers that may hold the grant: those at which the key was claimed, and those that took
+    /// it over because the ledger sets have changed since.
     fn holders(&self, claim: &Claim) -> BTreeSet<Addr> {
         let current = self.table.ledger_sets.named(&claim.key, self.env.losses);
         claim.ledgers().into_iter().chain(current.into_iter().flatten()).collect()
     }
 
-    /// Who may keep the outcome, the first choices last: the key's ledgers, those that granted it
-    /// before others, of them those of the newest set, and of them the nearest.
+    /// Ledgers that may store the outcome, the preferred ones last. Ledgers that granted the key
+    /// are preferred, among them those of the newest set, and among these the nearest.
     fn rank_outcome_holders(&self, claim: &Claim) -> Vec<Holder> {
         let newest = self.table.ledger_sets.named(&claim.key, self.env.losses).pop().unwrap_or_default();
         let here = &self.follow.env.zone;
@@ -192,11 +194,13 @@
         holders.into_iter().map(|addr| Holder { addr, birth: birth(&addr) }).collect()
     }
 
+    /// Sends outcomes again where due, and drops deliveries that are over.
     pub(crate) fn push_outcomes(&mut self, now: Mono, out: &mut Vec<Out>) {
         self.outcome_deliveries.iter_mut().for_each(|delivery| delivery.push(now, out));
         self.outcome_deliveries.retain(|delivery| !delivery.is_over(now));
     }
 
+    /// A ledger acknowledged that it has stored an outcome.
     pub(crate) fn on_outcome_stored(&mut self, now: Mono, from: Addr, round: RoundId) {
         if self.own_round(round).is_none() {
             return;
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,4 +1,6 @@
-//! The edge, a pure part: the decision object that executors ask and obey.
+//! Decision logic of the edge proxy: routing, admission, cached copies and idempotency keys.
+//! [`Edge`] is a pure state machine: it performs no I/O, and an executor feeds it events and
+//! carries out what it decides.
 mod admission;
 mod answers;
 mod body_size;
--- a/crates/edge/src/load_balancing.rs
+++ b/crates/edge/src/load_balancing.rs
@@ -1,21 +1,21 @@
-//! Choosing by load: origins of few slots, pressed by many edges at once.
+//! Choice of origins by load, for origins with few slots that many edges use at once.
 use crate::edge::Edge;
 use crate::jobs::Stage;
 use control_state::*;
 use primitives::{Addr, Birth, Mono, Span};
 use std::collections::BTreeMap;
 
-/// What another zone, and another region, counts as over the origin's own pace: for
-/// what may be long and is shared, and for the rest.
+/// Cost of an origin in another zone and in another region, in multiples of its response time: for
+/// reads, which may be large and are shared, and for all other requests.
 const SHARED_DISTANCE_COST: (f64, f64) = (4.0, 6.0);
 const UNSHARED_DISTANCE_COST: (f64, f64) = (0.7, 1.5);
-/// An origin that nobody here has asked yet.
+/// Response time assumed for an origin that this edge has not used yet.
 const DEFAULT_RESPONSE_TIME: Span = Span::ms(80);
-/// One that is still warming up.
+/// Additional cost of an origin that is still warming up.
 const WARMING_COST: f64 = 1.5;
 
 impl Edge {
-    /// Requests this edge has out, by origin.
+    /// Number of requests this edge has in progress, by origin.
     fn in_flight_by_origin(&self) -> BTreeMap<(Addr, Birth), u32> {
         let mut in_flight = BTreeMap::new();
         for job in self.jobs.values() {
@@ -26,7 +26,7 @@
         in_flight
     }
 
-    /// How long an answer from there is likely to take, nearer ones first.
+    /// Expected time of a response, weighted by load and distance. The unit is microseconds.
     fn expected_cost(&self, a: &Addr, o: &Origin, in_flight: u32, shared: bool) -> f64 {
         let latency = self.origin_health.latency(a, o.birth).unwrap_or(DEFAULT_RESPONSE_TIME).0 as f64;
         let here = &self.follow.env.zone;
@@ -41,8 +41,8 @@
         latency * (1.0 + load + distance + if warming { WARMING_COST } else { 0.0 })
     }
 
-    /// Usable origins, the most promising first: of two drawn by the request the
-    /// better one, so that edges that see alike do not all press the same.
+    /// Usable origins, the most promising first. The request's `selector` perturbs the costs, so
+    /// that edges with the same view do not all choose the same origin.
     pub(crate) fn load_balanced(
         &self,
         now: Mono,
--- a/crates/edge/src/local_controller.rs
+++ b/crates/edge/src/local_controller.rs
@@ -1,16 +1,16 @@
 //! The controller that runs in the same process as this edge.
 //!
-//! One without a disk is no member, and members address only the seeds of their own settings. New
-//! machines and followers may have it as their only seed, so it must know who the members are; the
-//! edge beside it follows them all the time and passes that on.
+//! A controller without a disk is not a member, and members send messages only to the seeds of
+//! their own settings. New machines and followers may have this controller as their only seed, so
+//! it must know the members. The edge in the same process follows the membership and passes it on.
 use crate::edge::Edge;
 use control_state::*;
 use primitives::{Mono, Span};
 
-/// How often an unchanged membership is sent_at again: messages get lost.
+/// How often an unchanged membership is sent again, because messages may be lost.
 const MEMBERSHIP_INTERVAL: Span = Span::secs(1);
 
-/// What the neighbouring controller was sent_at last.
+/// The membership that was last sent to the local controller.
 #[derive(Debug, Default)]
 pub(crate) struct LocalControllerState {
     era: Era,
@@ -18,6 +18,7 @@
 }
 
 impl Edge {
+    /// Sends the membership if it changed, or if it was last sent some time ago.
     pub(crate) fn send_members_to_local_controller(&mut self, now: Mono, out: &mut Vec<Out>) {
         let Some(controller) = self.env.controller else { return };
         let era = self.follow.era;
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures that tell where an edge's requests wait and what becomes of lent requests.
+//! Metrics: where an edge's requests wait, and what happens to borrowed tokens.
 use crate::jobs::Stage;
 use crate::sources::Source;
 use control_state::{Denied, Reach};
@@ -20,21 +20,21 @@
     reason: String,
 }
 
-/// What became of a request's worth of a ceiling.
+/// Where a token came from and what happened to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct TokenLabels {
     source: &'static str,
     fate: &'static str,
 }
 
-/// What became of a token that the leader lent, or of one of the edge's own share.
+/// An event in the life of a token, borrowed from the leader or of the edge's own share.
 #[derive(Copy, Clone, Debug)]
 pub(crate) enum Token {
     Lent,
     LentUsed,
-    /// It came when its time had passed.
+    /// It arrived after it had expired.
     LentLate,
-    /// Its time passed here.
+    /// It expired here.
     LentUnused,
     OwnUsed,
 }
@@ -52,7 +52,7 @@
     }
 }
 
-/// An edge's figures; clones count together.
+/// An edge's metrics. Clones count into the same values.
 #[derive(Clone, Debug)]
 pub struct EdgeMetrics {
     waits: WaitHistograms<WaitLabels>,
@@ -81,7 +81,7 @@
 }
 
 impl EdgeMetrics {
-    /// Enters all figures into a registry.
+    /// Registers all metrics.
     pub fn register(&self, registry: &mut Registry) {
         registry.register_with_unit(
             "edge_wait",
