--- a/crates/edge/src/origins.rs
+++ b/crates/edge/src/origins.rs
@@ -4,42 +4,49 @@
 use primitives::{Addr, Birth, Mono, Span};
 use std::collections::BTreeMap;
 
+/// What this edge has observed of the origins.
 #[derive(Debug, Default)]
 pub(crate) struct OriginHealth {
-    /// When each heartbeat was heard, at the latest, by this edge's clock: counted
-    /// back from when it asked, so that a message read late is not fresh.
+    /// Each origin's latest heartbeat and the latest time, by this edge's clock, at which it was
+    /// current. Counted back from the time of the edge's request, so that a message that is read
+    /// late does not count as fresh.
     pub heartbeats: BTreeMap<Addr, (OriginHeartbeat, Mono)>,
     probes: BTreeMap<Addr, (Svc, Birth, Mono)>,
-    /// Lives that just failed a round, and until when they are passed over.
+    /// Incarnations whose attempt just failed, and until when they are avoided.
     failing_until: BTreeMap<(Addr, Birth), Mono>,
-    /// How long each life's answers take, smoothed.
+    /// Smoothed response time of each incarnation.
     latency: BTreeMap<(Addr, Birth), Span>,
-    /// Lives that could not be reached, and when that was tried.
+    /// Incarnations that could not be reached, and when that was tried.
     unreached: BTreeMap<(Addr, Birth), Mono>,
 }
 
 impl OriginHealth {
+    /// The smoothed response time of an incarnation, if one was measured.
     pub(crate) fn latency(&self, a: &Addr, b: Birth) -> Option<Span> {
         self.latency.get(&(*a, b)).copied()
     }
-    /// Nothing was heard of it since it could not be reached.
+    /// Whether nothing was heard of the origin since it could not be reached.
     pub(crate) fn is_unreachable(&self, now: Mono, a: &Addr, b: Birth) -> bool {
         let heard = self.heartbeats.get(a).filter(|(x, _)| x.birth == b).map(|(_, t)| *t).unwrap_or_default();
         self.unreached.get(&(*a, b)).is_some_and(|t| heard <= *t && now - *t < UNREACHED_COOLDOWN)
     }
+    /// Whether an attempt there failed a moment ago.
     pub(crate) fn is_failing(&self, now: Mono, a: &Addr, b: Birth) -> bool {
         self.failing_until.get(&(*a, b)).is_some_and(|t| *t > now)
     }
 }
 
+/// How long an origin is avoided after a failed attempt.
 const FAILURE_COOLDOWN: Span = Span::ms(500);
-/// Silent ones are tried again after so long, heartbeat or not.
+/// Unreachable origins are tried again after this time, even without a heartbeat.
 const UNREACHED_COOLDOWN: Span = Span::secs(8);
-/// Slower than the service's quickest by this factor, and than this at all.
+/// An origin is slow if it is slower than the service's fastest by this factor, and slower than
+/// `SLOW_MIN`.
 const SLOW_FACTOR: u64 = 4;
 const SLOW_MIN: Span = Span::ms(150);
 
 impl Edge {
+    /// Takes the origins' heartbeats from a controller's reply.
     pub(crate) fn record_heartbeats(&mut self, r: &Reply) {
         for (b, age) in &r.beats {
             let heard = r.ask - *age;
@@ -49,13 +56,14 @@
         }
     }
 
-    /// Until when this life at this address counts as there.
+    /// Until when this incarnation at this address counts as present.
     pub(crate) fn fresh_until(&self, a: &Addr, o: &Origin) -> Mono {
         let heartbeat = self.origin_health.heartbeats.get(a);
         let by_heartbeat = heartbeat.filter(|(b, _)| b.birth == o.birth && b.svc == o.svc && !b.mood.ends());
         let probe =
             self.origin_health.probes.get(a).filter(|(s, b, _)| *s == o.svc && *b == o.birth).map(|p| p.2);
-        // A later word of leaving, or of another life, outweighs an older probe.
+        // A later heartbeat that ends the incarnation, or belongs to another one, outweighs an
+        // older probe.
         let against = heartbeat.filter(|_| by_heartbeat.is_none()).map(|(_, t)| *t).unwrap_or_default();
         let probe = probe.filter(|t| *t > against);
         let last = by_heartbeat.map(|(_, t)| *t).max(probe).unwrap_or_default();
@@ -66,8 +74,8 @@
         }
     }
 
-    /// Usable origins of a service for this object or key: its own first, then
-    /// that one's understudy, then the rest; slow and failing ones last.
+    /// Usable origins of a service for this object or key: first the one it is assigned to, then
+    /// that one's standby origin, then the rest; slow and failing ones last.
     pub(crate) fn candidates(&self, now: Mono, svc: &Svc, rendezvous_key: u64) -> Vec<(Addr, Origin, Mono)> {
         let all = self.table.origins.get(svc).cloned().unwrap_or_default();
         let ranked = primitives::rank(&rendezvous_key, &all, |(a, _)| primitives::hash(a));
@@ -105,23 +113,26 @@
         penalized.into_iter().map(|(_, candidate)| candidate).collect()
     }
 
+    /// A response arrived after this time.
     pub(crate) fn note_latency(&mut self, a: Addr, b: Birth, took: Span) {
         let smoothed = self.origin_health.latency.entry((a, b)).or_insert(took);
         *smoothed = Span((smoothed.0 * 3 + took.0) / 4);
         self.origin_health.failing_until.remove(&(a, b));
     }
 
+    /// The origin could not be reached.
     pub(crate) fn note_unreached(&mut self, now: Mono, a: Addr, b: Birth) {
         self.origin_health.unreached.retain(|_, t| now - *t < UNREACHED_COOLDOWN);
         self.origin_health.unreached.insert((a, b), now);
     }
 
+    /// An attempt failed.
     pub(crate) fn note_failure(&mut self, now: Mono, a: Addr, b: Birth) {
         self.origin_health.failing_until.retain(|_, t| *t > now);
         self.origin_health.failing_until.insert((a, b), now + FAILURE_COOLDOWN);
     }
 
-    /// Origins whose beats no longer come through: the edge asks them itself.
+    /// Origins whose heartbeats no longer arrive. The edge probes them itself.
     pub(crate) fn to_probe(&self, now: Mono) -> Vec<Addr> {
         let stale = |a: &Addr| {
             self.origin_health.heartbeats.get(a).is_none_or(|(_, t)| now - *t > Span(self.env.fresh.0 / 2))
@@ -129,6 +140,8 @@
         self.table.origins.values().flatten().map(|(a, _)| *a).filter(stale).collect()
     }
 
+    /// Result of a probe that began at `started`; the flag tells whether the origin accepts
+    /// requests.
     pub(crate) fn probed(&mut self, addr: Addr, reply: Option<(Svc, Birth, bool)>, started: Mono) {
         match reply {
             Some((svc, birth, true)) => {
--- a/crates/edge/src/outcome_deliveries.rs
+++ b/crates/edge/src/outcome_deliveries.rs
@@ -1,16 +1,16 @@
-//! Outcomes on their way to the ledgers that are to hold them.
+//! Delivery of outcomes to the ledgers that are to store them.
 use control_state::*;
 use primitives::{Addr, Backoff, Mono, Span};
 use std::collections::BTreeSet;
 
-/// How long a ledger that is to hold an outcome may keep pending.
+/// A ledger that has not acknowledged an outcome within this time is replaced by another one.
 const ACKNOWLEDGEMENT_TIMEOUT: Span = Span::secs(1);
-/// How long an outcome is offered.
+/// How long the delivery of an outcome is attempted.
 const DELIVERY_TIMEOUT: Span = Span::secs(8);
-/// The first and the longest pause after which an outcome not known to be kept is sent again.
+/// The first and the longest pause after which an unacknowledged outcome is sent again.
 const RESEND_DELAYS: (Span, Span) = (Span::ms(250), Span::secs(2));
 
-/// What an outcome is of.
+/// The attempt that an outcome belongs to.
 #[derive(Clone, Debug)]
 pub(crate) struct KeyedRound {
     pub key: String,
@@ -18,14 +18,14 @@
     pub round: RoundId,
 }
 
-/// An outcome, the ledgers that are to hold it, and those that have not said that they do.
+/// An outcome, the ledgers that are to store it, and those that have not acknowledged it.
 #[derive(Debug)]
 pub(crate) struct OutcomeDelivery {
     pub of: KeyedRound,
     response: Whole,
     chosen: Vec<Holder>,
     pending: BTreeSet<Addr>,
-    /// Chosen in place of those that keep pending; the next one last.
+    /// Replacements for ledgers that do not answer; the next one is last.
     fallbacks: Vec<Holder>,
     started_at: Mono,
     chosen_at: Mono,
@@ -33,7 +33,7 @@
 }
 
 impl OutcomeDelivery {
-    /// To so many of the ledgers, the best of which come last.
+    /// Delivers to `copies` of the ledgers; the preferred ones are last in the list.
     pub(crate) fn new(
         now: Mono,
         of: KeyedRound,
@@ -48,7 +48,7 @@
         OutcomeDelivery { of, response, chosen, pending, fallbacks, started_at: now, chosen_at: now, resend }
     }
 
-    /// To all of them alike, which need not know of one another.
+    /// Delivers to all of the ledgers alike. They need not know of one another.
     pub(crate) fn to_all(
         now: Mono,
         of: KeyedRound,
@@ -59,13 +59,14 @@
         OutcomeDelivery { chosen: vec![], ..OutcomeDelivery::new(now, of, response, ledgers, copies) }
     }
 
-    /// What is to be sent now, if anything.
+    /// Sends whatever is due now.
     pub(crate) fn push(&mut self, now: Mono, out: &mut Vec<Out>) {
         if self.replace_silent_ledgers(now) || self.resend.due(now) {
             self.send(out);
         }
     }
 
+    /// Sends the outcome to all ledgers that have not acknowledged it.
     pub(crate) fn send(&self, out: &mut Vec<Out>) {
         let whole = if self.chosen.is_empty() {
             self.response.clone()
@@ -78,8 +79,8 @@
         out.extend(self.pending.iter().map(|to| Out::Send(*to, outcome())));
     }
 
-    /// Turns from ledgers that kept pending for long to fallbacks; whether it did. Those that hold it
-    /// already are told who holds it now.
+    /// Replaces ledgers that have not acknowledged for too long. Returns whether it did. Ledgers
+    /// that already store the outcome are told its new holders.
     fn replace_silent_ledgers(&mut self, now: Mono) -> bool {
         if now - self.chosen_at < ACKNOWLEDGEMENT_TIMEOUT || self.fallbacks.is_empty() {
             return false;
@@ -92,11 +93,12 @@
         true
     }
 
+    /// The ledger has stored the outcome.
     pub(crate) fn note_stored(&mut self, from: Addr) {
         self.pending.remove(&from);
     }
 
-    /// Nobody is left to be told, or there was no telling them.
+    /// Whether all ledgers have acknowledged, or delivery has timed out.
     pub(crate) fn is_over(&self, now: Mono) -> bool {
         self.pending.is_empty() || now - self.started_at >= DELIVERY_TIMEOUT
     }
--- a/crates/edge/src/policy.rs
+++ b/crates/edge/src/policy.rs
@@ -1,37 +1,38 @@
-//! What a deployment may choose of an edge's ways.
+//! Behaviour of an edge that a deployment may choose.
 use crate::edge::Edge;
 use control_state::Denied;
 use primitives::Span;
 
-/// What a deployment may choose; the default is the product's own.
+/// Behaviour that a deployment may choose. The default is the product's own.
 #[derive(Clone, Debug)]
 pub struct EdgePolicy {
-    /// What each first try earns of an extra one.
+    /// Retry credit earned by each first attempt; a retry costs 1.
     pub retry_credit_per_request: f64,
-    /// Extra tries that all edges of the deployment together may have saved up; each
-    /// may have one at least.
+    /// Retries that all edges of the deployment together may save up. Each edge may save at least
+    /// one.
     pub saved: f64,
-    /// An object has a home in each zone, which asks the one of its region, which asks the one of
-    /// the deployment. Else it has one home. Either way every edge keeps what it asked for, as a guest that makes room first.
+    /// Whether an object has a home in each zone, which asks the home of its region, which asks the
+    /// home of the deployment. Otherwise it has a single home. In both cases every edge keeps
+    /// copies of what it requested, but evicts those it is not a home of first.
     pub near: bool,
-    /// Origins are chosen by load and nearness, not by rendezvous.
+    /// Whether origins are chosen by load and distance instead of by rendezvous hashing.
     pub load_balanced: bool,
-    /// How long an object's home may take to say that it is at it.
+    /// How long an object's home may take to report that it is working on a request.
     pub home: Span,
-    /// The same of homes of wider reaches: in their place the origin is asked.
+    /// The same for homes of wider reaches; when it expires, the origin is asked instead.
     pub wide_home_timeout: Span,
-    /// When a denied caller should come back, to any edge; else it depends on why.
+    /// When a denied caller should try again, at any edge. If `None`, it depends on the reason.
     pub back: Option<Span>,
-    /// The same of one that came to an edge without a lease: where callers follow readiness, it
-    /// had nowhere better to go.
+    /// The same for a caller of an edge without a lease. Where callers follow readiness, no better
+    /// edge was available to it.
     pub retry_after_no_lease: Span,
-    /// Bodies that are larger, in the middle, are asked of an origin of the own region rather than
-    /// carried from another region.
+    /// If the average body of a route is larger than this many bytes, it is requested from an
+    /// origin of the own region instead of being transferred from another region.
     pub cross_region_body_limit: usize,
 }
 
 impl Default for EdgePolicy {
-    /// A tenth: well under a fifth.
+    /// A tenth of a retry per request keeps extra attempts well under a fifth.
     fn default() -> EdgePolicy {
         EdgePolicy {
             retry_credit_per_request: 0.1,
@@ -48,7 +49,7 @@
 }
 
 impl Edge {
-    /// When a denied client should ask again.
+    /// When a denied caller should try again.
     pub(crate) fn retry_after(&self, d: Denied) -> Span {
         let policy = &self.env.policy;
         match d {
--- a/crates/edge/src/purge.rs
+++ b/crates/edge/src/purge.rs
@@ -1,4 +1,4 @@
-//! Purges: copies go, and what is being fetched is not used.
+//! Purges: copies are removed, and responses being fetched are not used.
 use crate::copies::Copy;
 use crate::edge::Edge;
 use crate::jobs::{Job, Stage};
@@ -7,13 +7,14 @@
 use primitives::Mono;
 
 impl Edge {
-    /// A purge of all whose path begins so.
+    /// Purges all objects of the service whose path starts with the prefix.
     pub(crate) fn purge(&mut self, now: Mono, svc: &Svc, prefix: &str, out: &mut Vec<Out>) {
         self.copies.drop_where(|k, _| k.service == *svc && k.path.starts_with(prefix));
         self.invalidate(now, |o| o.service == *svc && o.path.starts_with(prefix), out);
     }
 
-    /// A purge by page or by tag. What is being fetched shows its tags when it comes.
+    /// Purges by page or by tag. The tags of a response being fetched are known only when it
+    /// arrives.
     pub(crate) fn purge_by(&mut self, now: Mono, purge: &PurgeBy, out: &mut Vec<Out>) {
         let is_page = |o: &Object, host: &str, path: &str| {
             let without_query = |s: &str| s.split('?').next().unwrap_or(s).to_string();
@@ -32,13 +33,13 @@
         }
     }
 
-    /// Of all purges known here.
+    /// Digest of all purges known here.
     pub(crate) fn current_purge_digest(&mut self) -> u64 {
         let items = &self.follow.items;
         *self.purge_digest.get_or_insert_with(|| purge_digest(items))
     }
 
-    /// What is being fetched is not used.
+    /// Marks the matching fetches, so that their responses are not used.
     fn invalidate(&mut self, now: Mono, matches: impl Fn(&Object) -> bool, out: &mut Vec<Out>) {
         self.count("purges");
         self.fills.retain(|o, _| !matches(o));
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Forgets tags that were purged before anything under way was asked for.
+    /// Forgets tags that were purged before the oldest request in progress was sent.
     pub(crate) fn forget_purged_tags(&mut self, now: Mono) {
         let oldest_request = |job: &Job| job.overdue.iter().map(|i| i.asked).fold(job.stage_since, Mono::min);
         let oldest = self.jobs.values().map(oldest_request).fold(now, Mono::min);
--- a/crates/edge/src/read.rs
+++ b/crates/edge/src/read.rs
@@ -1,4 +1,4 @@
-//! Readable content: each object has a home edge that fills it once for all.
+//! Reads of cacheable content: each object has a home edge that fetches it once for all.
 use crate::cacheability::cacheability;
 use crate::copies::Copy;
 use crate::edge::Edge;
@@ -8,24 +8,25 @@
 use primitives::{Addr, Mono, Span};
 use std::sync::Arc;
 
-/// A copy good when it was decided on may still leave for so long, half of what a
-/// copy may outlive its life by.
+/// A copy that was valid when it was chosen may still be sent for this long. This is half of the
+/// time by which a copy may exceed its time-to-live.
 pub(crate) const DELIVERY_MARGIN: Span = Span::secs(1);
 
-/// What another edge asks for, beside the object.
+/// What another edge requests, apart from the object.
 pub(crate) struct CopyRequestOptions {
     pub heads: Headers,
     pub reach: Reach,
-    /// The `ETag` of what it holds.
+    /// The `ETag` of the copy that it has.
     pub held: Option<String>,
     pub patience: Patience,
 }
 
 impl Edge {
+    /// Serves the request from a copy, joins a fetch in progress, or starts one.
     pub(crate) fn read(&mut self, now: Mono, mut job: Job, out: &mut Vec<Out>) {
         let object = job.object();
         let personal = job.req.heads.personal();
-        // A lifetime that was shortened since holds for what is kept already.
+        // A time-to-live that was shortened meanwhile also applies to existing copies.
         let within_route_ttl = |c: &&Copy| now - c.since < job.row.ttl;
         if let Some(c) =
             self.copies.get(now, &object).filter(|c| c.public || !personal).filter(within_route_ttl).cloned()
@@ -34,7 +35,7 @@
             let step = Step::Serve(c.whole.clone(), AnswerSource::Copy(now - c.since), until);
             return job.callers.iter().for_each(|c| self.answer_caller(now, &c.caller, step.clone(), out));
         }
-        // What is this caller's own is asked of the origin, for this caller alone.
+        // Content for this caller only is requested from the origin, for this caller alone.
         let conditional = ["if-match", "if-unmodified-since"].iter().any(|n| job.req.heads.has(n));
         let bypasses_cache = conditional || !job.req.body.is_empty();
         if personal || bypasses_cache || self.unshared.get(&object).is_some_and(|t| *t > now) {
@@ -52,8 +53,8 @@
         self.ask_source(now, id, source, out);
     }
 
-    /// Fills are coalesced: later callers wait for the first one's. Who acts for a reach
-    /// does not wait for another who does.
+    /// Fetches are coalesced: later callers wait for the first one's fetch. An edge that acts as a
+    /// home of some reach does not wait for another one that does.
     fn join_fill(&mut self, object: &Object, callers: &[Waiting], home_reach: Option<Reach>) -> bool {
         let id = self.fills.get(object).copied();
         let asks_wider_home = |job: &Job| match (&job.stage, home_reach) {
@@ -65,11 +66,12 @@
         joinable.map(|job| job.join(callers)).is_some()
     }
 
-    /// An answer to a question for a copy.
+    /// The answer to a copy request.
     pub(crate) fn copy_result(&mut self, to: Addr, ask: RequestId, reply: CopyReply) -> Out {
         Out::Send(to, Msg::CopyResult { ask, said: reply, purges: self.current_purge_digest() })
     }
 
+    /// Another edge requests a copy.
     pub(crate) fn on_copy_query(
         &mut self,
         now: Mono,
@@ -79,11 +81,13 @@
         out: &mut Vec<Out>,
     ) {
         let caller = Caller::Edge(from, ask);
-        // Purges may not have reached an edge out of touch: others do not rely on it.
+        // Purges may not have reached an edge that is out of touch, so other edges must not rely on
+        // it.
         if !self.in_touch(now) {
             return out.push(self.copy_result(from, ask, CopyReply::TemporarilyUnavailable));
         }
-        // By the lane that leads to it now: the asker may go by an older configuration, or a newer.
+        // The route that leads to the object now: the requesting edge may have an older or a newer
+        // configuration.
         let route = self.table.route_of(&object.site, &object.path).unwrap_or_default();
         let rows = self.table.routes.get(&route).cloned().unwrap_or_default();
         let ttl = rows.iter().find(|(s, _)| *s == object.service).map_or(Span(0), |(_, r)| r.ttl);
@@ -131,13 +135,14 @@
         }
     }
 
+    /// Stores a copy, unless it has expired or is larger than the cache.
     pub(crate) fn keep(&mut self, now: Mono, object: Object, copy: Copy) {
         if copy.until > now && copy.whole.size() <= self.env.copies {
             self.copies.put(object, copy);
         }
     }
 
-    /// A whole answer for a fill: kept if it may be, then served.
+    /// A complete response to a fetch: cached if permitted, then served.
     pub(crate) fn finish_fill(
         &mut self,
         now: Mono,
@@ -151,7 +156,7 @@
         let (object, until, unshared) = (job.object(), sent + verdict.ttl, job.unshared);
         self.body_sizes.note(&job.req.lane, response.size());
         let shareable = !verdict.personal && (response.status != 200 || verdict.ttl > Span(0));
-        // What one caller asked for alone may be less than the whole, or encoded for it.
+        // A response requested for a single caller may be partial, or encoded for that caller.
         let complete = !unshared || (job.req.method == "GET" && !response.heads.has("content-encoding"));
         if complete && verdict.ttl > Span(0) && self.leased(now) {
             let since = sent - verdict.current_age;
@@ -168,7 +173,7 @@
                 }
             }
         }
-        // An answer just fetched may be served even if it may not be kept.
+        // A response that was just fetched may be served even if it may not be cached.
         let until = until.max(now + Span::ms(1500)).min(self.leased_until());
         let step = Step::Serve(Arc::new(response), AnswerSource::Origin, until);
         if unshared || shareable {
--- a/crates/edge/src/revalidation.rs
+++ b/crates/edge/src/revalidation.rs
@@ -1,4 +1,4 @@
-//! Renewing copies: an origin that still has what a copy shows says so in a few bytes.
+//! Revalidation: an origin that still has the content of a copy confirms that in a few bytes.
 use crate::cacheability::cacheability;
 use crate::copies::Copy;
 use crate::edge::Edge;
@@ -6,11 +6,11 @@
 use primitives::{Mono, Span};
 
 pub(crate) const IF_NONE_MATCH: &str = "if-none-match";
-/// As for any copy, see `read`.
+/// The same as for any copy, see `read`.
 const DELIVERY_MARGIN: Span = Span::secs(1);
 
 impl Edge {
-    /// A fill of something that was had before asks only for what is newer.
+    /// Makes the fetch conditional if there is a copy with an `ETag`.
     pub(crate) fn add_revalidation_header(&self, id: u64, req: CallerRequest) -> CallerRequest {
         let job =
             self.jobs.get(&id).filter(|job| job.kind == Kind::Read && !job.unshared && !job.unconditional);
@@ -20,8 +20,8 @@
             .fold(req, |req, etag| CallerRequest { heads: req.heads.with(IF_NONE_MATCH, etag), ..req })
     }
 
-    /// The origin has nothing newer: the copy lives on, from when it was asked about.
-    /// Invariant: a copy that a purge took meanwhile is not there to be renewed.
+    /// The origin has nothing newer: the copy is valid again, counted from when the request was
+    /// sent. Invariant: a copy that was purged meanwhile does not exist and cannot be revalidated.
     pub(crate) fn finish_revalidation(
         &mut self,
         now: Mono,
@@ -34,7 +34,7 @@
         let (object, row_ttl) = (job.object(), job.row.ttl);
         let same_etag = |c: &&Copy| c.whole.heads.get("etag") == round.req.heads.get(IF_NONE_MATCH);
         let Some(cached) = self.copies.peek(&object).filter(same_etag).cloned() else {
-            // It left the shelf for room: the whole is wanted after all.
+            // The copy was evicted meanwhile: the whole response is needed after all.
             job.unconditional = true;
             return self.retry_or(now, id, true, Step::OutcomeUnknown(Span::secs(1)), out);
         };
--- a/crates/edge/src/rounds.rs
+++ b/crates/edge/src/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds: one try of a job at one origin.
+//! Rounds: a round is one attempt of a job at one origin.
 use crate::edge::Edge;
 use crate::jobs::*;
 use crate::revalidation::IF_NONE_MATCH;
@@ -7,7 +7,7 @@
 use primitives::{Mono, Span};
 use std::sync::Arc;
 
-/// The last word on an answer that is larger than this deployment serves.
+/// The answer if an origin's response exceeds the size limit of this deployment.
 fn too_large() -> Whole {
     let body =
         obj(vec![("problem", text("too large")), ("reason", text("the origin's answer is over the limit"))]);
@@ -15,6 +15,7 @@
 }
 
 impl Edge {
+    /// Changes a job's stage and records how long the previous one took.
     pub(crate) fn set_stage(&mut self, now: Mono, id: u64, stage: Stage) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         self.metrics.note_wait(&job.stage, now - job.stage_since);
@@ -22,6 +23,7 @@
         job.stage_since = now;
     }
 
+    /// Adds a new job to the queue of its service. Returns its number.
     pub(crate) fn enqueue_new_job(&mut self, now: Mono, job: Job, out: &mut Vec<Out>) -> u64 {
         let id = self.number();
         self.jobs.insert(id, job);
@@ -29,7 +31,8 @@
         id
     }
 
-    /// Sends the executor to an origin, or leaves the job in line, or denies it.
+    /// Starts an attempt at an origin. The job stays queued if there is no token, and is denied if
+    /// there is no usable origin or lease.
     pub(crate) fn start_round(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         let Some(job) = self.jobs.get(&id) else { return };
         let (svc, send_deadline, req) = (job.svc.clone(), job.send_deadline, job.req.clone());
@@ -75,7 +78,7 @@
         out.push(Out::Fetch(round));
     }
 
-    /// An executor's report.
+    /// The executor's report on an attempt.
     pub(crate) fn done(&mut self, now: Mono, n: u64, outcome: FetchOutcome, out: &mut Vec<Out>) {
         let Some(id) = self.rounds.remove(&n) else { return };
         let Some(job) = self.jobs.get_mut(&id) else { return };
@@ -112,7 +115,7 @@
                 self.retry_or(now, id, safe, Step::OutcomeUnknown(Span::secs(2)), out);
             }
             FetchOutcome::TooLarge => {
-                // Asking again would only bring it once more.
+                // Another attempt would only return the same response.
                 job.sent_attempts += 1;
                 let (keyed, response) = (job.kind == Kind::Keyed, too_large());
                 let step = Step::Serve(Arc::new(response.clone()), AnswerSource::Own, Mono(u64::MAX));
@@ -148,7 +151,8 @@
         }
     }
 
-    /// Another round if that does no harm and the budget has one, else `last`.
+    /// Makes another attempt if that does no harm and the retry budget allows it; otherwise ends
+    /// the job with `fallback`.
     pub(crate) fn retry_or(&mut self, now: Mono, id: u64, safe: bool, fallback: Step, out: &mut Vec<Out>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let (svc, attempts_left) =
--- a/crates/edge/src/sources.rs
+++ b/crates/edge/src/sources.rs
@@ -1,30 +1,31 @@
-//! Where a copy of an object is got: from the object's homes, a ledger, or an origin.
+//! Where the copy of an object comes from: one of the object's homes, a ledger, or an origin.
 //!
-//! An edge asks the home of its zone, that one the home of its region, this one the home of the
-//! deployment, and only that one the origin, so that an origin is asked once for all. A home that
-//! keeps silent is passed over: its asker turns to the next source, not to the origin.
+//! An edge asks the home of its zone, which asks the home of its region, which asks the home of the
+//! deployment, and only that one asks the origin, so that an origin is asked once for all. A home
+//! that does not answer is skipped: its requester turns to the next source, not to the origin.
 //!
-//! Invariant: who acts for a reach waits only for who acts for a wider one, so edges that see
-//! different homes never wait for one another in a circle.
+//! Invariant: an edge acting for a reach waits only for one acting for a wider reach, so edges that
+//! see different homes never wait for one another in a circle.
 use crate::edge::Edge;
 use crate::jobs::*;
 use control_state::*;
 use primitives::{Addr, Mono, Span};
 
-/// Copies that live shorter are not worth a ledger's disk.
+/// Copies with a shorter time-to-live are not worth a ledger's disk.
 pub(crate) const MIN_DISK_CACHE_TTL: Span = Span::secs(1);
-/// A home that kept silent is passed over for so long.
+/// How long a home that did not answer is skipped.
 const UNRESPONSIVE_COOLDOWN: Span = Span::secs(2);
-/// No home is waited for longer.
+/// Longest time to wait for a home.
 const MAX_HOME_TIMEOUT: Span = Span::secs(1);
-/// A home that is at it says so again and again; one that has not for so long is gone.
+/// A home that is working on a request reports so repeatedly; after this time without a report it
+/// counts as lost.
 const PROGRESS_TIMEOUT: Span = Span::ms(1500);
-/// A home that said it is out of touch is passed over for so long.
+/// How long a home is skipped that reported to be out of touch.
 const NO_QUORUM_COOLDOWN: Span = Span::ms(300);
-/// Homes of the widest reach that are asked before the origin.
+/// Number of homes of the widest reach that are asked before the origin.
 const MAX_WIDEST_HOMES: u8 = 2;
 
-/// What a job asks for its object, in this order.
+/// The sources of an object, in the order in which a job asks them.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Source {
     Home(Reach),
@@ -32,19 +33,19 @@
     Origin,
 }
 
-/// A question under way.
+/// A copy request in progress.
 #[derive(Copy, Clone, Debug)]
 pub(crate) struct CopyRequest {
     pub to: Addr,
-    /// Lives of what it answers count from here.
+    /// The time-to-live of the answer counts from here.
     pub asked: Mono,
     pub source: Source,
-    /// When it said last that it is at it.
+    /// When the other process last reported progress.
     pub last_progress_at: Option<Mono>,
 }
 
 impl Edge {
-    /// The reaches that homes have here, the nearest first.
+    /// The reaches that have homes in this deployment, nearest first.
     fn reaches(&self) -> &'static [Reach] {
         if self.env.policy.near {
             self.table.tiers()
@@ -53,14 +54,15 @@
         }
     }
 
-    /// The first home by rendezvous of those that have not kept silent lately.
+    /// The first home by rendezvous hashing that has not recently failed to answer.
     pub(crate) fn home(&self, now: Mono, object: &Object, reach: Reach) -> Option<Addr> {
         let homes = self.table.homes(reach, &self.follow.env.zone).iter();
         let is_responsive = |e: &&EdgeNode| self.unresponsive.get(&e.addr).is_none_or(|t| *t <= now);
         primitives::first(object, homes.filter(is_responsive), |e| e.id.0, |e| e.capacity).map(|e| e.addr)
     }
 
-    /// The ledger that stocks an object, of this edge's region, if ledgers stock any.
+    /// The ledger of this edge's region whose disk cache may hold the object, if ledgers have disk
+    /// caches.
     pub(crate) fn disk_cache_ledger(&self, now: Mono, object: &Object) -> Option<Addr> {
         if !self.env.disk_cache {
             return None;
@@ -73,17 +75,17 @@
         ranked.into_iter().map(|l| l.addr).next().filter(is_responsive)
     }
 
-    /// The first source that is to be asked by one who acts for that reach, or for callers.
+    /// The first source to ask for a home of that reach, or for this edge's own callers.
     pub(crate) fn first_source(&self, now: Mono, object: &Object, home_reach: Option<Reach>) -> Source {
         let own_addr = self.follow.env.addr;
         let wider = self.reaches().iter().filter(|r| home_reach.is_none_or(|acting| **r > acting));
-        // Who is the home of a reach asks nobody of a nearer one.
+        // The home of a reach does not ask homes of nearer reaches.
         let own_reach = self.reaches().iter().rev().find(|r| self.home(now, object, **r) == Some(own_addr));
         let mut to_ask = wider.filter(|r| own_reach.is_none_or(|own| *r > own));
         to_ask.next().map_or(Source::Ledger, |r| Source::Home(*r))
     }
 
-    /// Who was asked is out of touch: another home of the same reach, or the next source.
+    /// The asked home is out of touch: asks another home of the same reach, or the next source.
     pub(crate) fn ask_other_home(
         &mut self,
         now: Mono,
@@ -95,8 +97,7 @@
         self.ask_source(now, id, copy_request.source, out);
     }
 
-    /// Fills that stand in line here for want of a home: once there is one that speaks, they are
-    /// left to it.
+    /// Queued fetches that are here because no home was available move to a home once one answers.
     pub(crate) fn move_queued_fills_to_homes(&mut self, now: Mono, out: &mut Vec<Out>) {
         let is_queued_fill = |job: &Job| job.is_queued() && job.kind == Kind::Read && !job.unshared;
         let fills: Vec<u64> =
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Asks the source, or the next one that there is.
+    /// Asks the source, or the next one that exists.
     pub(crate) fn ask_source(&mut self, now: Mono, id: u64, source: Source, out: &mut Vec<Out>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.invalidated = false;
@@ -139,7 +140,7 @@
         }
     }
 
-    /// The home of that reach, if it is another edge and not passed by.
+    /// The home of that reach, if it is another edge and not bypassed.
     fn home_to_ask(&self, now: Mono, object: &Object, reach: Reach) -> Option<Addr> {
         if self.prefers_nearby_origin(now, object, reach) {
             return None;
@@ -147,8 +148,8 @@
         self.home(now, object, reach).filter(|home| *home != self.follow.env.addr)
     }
 
-    /// Whether an origin of the own zone or region is asked rather than a home beyond it: for a
-    /// large body of which there is nothing to be renewed.
+    /// Whether an origin of the own zone or region is asked instead of a home beyond it: for large
+    /// bodies, if there is no copy to revalidate.
     fn prefers_nearby_origin(&self, now: Mono, object: &Object, reach: Reach) -> bool {
         let here = &self.follow.env.zone;
         let is_nearby = |origin: &Origin| match reach {
@@ -161,8 +162,8 @@
         let Some(route) = self.table.route_of(&object.site, &object.path) else { return false };
         let origins = self.table.origins.get(&object.service).map_or(&[][..], Vec::as_slice);
         let renewable = || self.copies.peek(object).is_some_and(|c| c.whole.heads.has("etag"));
-        // Within a region origins are spared the others' fills where they have few slots, and
-        // as soon as they are pressed.
+        // Within a region, origins with few slots are spared the fetches of several edges, and so
+        // are origins that requests are queued for.
         let must_spare_origins = || {
             let slots: u32 = origins.iter().map(|(_, origin)| origin.cap).sum();
             reach == Reach::Region
@@ -188,7 +189,7 @@
             Source::Home(reach) => reach,
             _ => Reach::Deployment,
         };
-        // Only what is kept here can be renewed.
+        // Only a copy that is kept here can be revalidated.
         let cached = self.copies.peek(&object);
         let held = cached.and_then(|c| c.whole.heads.get("etag")).map(str::to_string);
         let held = held.filter(|_| copy_request.source != Source::Ledger);
@@ -202,7 +203,7 @@
         self.set_stage(now, id, Stage::Home(copy_request));
     }
 
-    /// How long whoever was asked may take.
+    /// How long the asked process may take.
     pub(crate) fn copy_request_timeout(&self, copy_request: &CopyRequest) -> Span {
         let policy = &self.env.policy;
         match (copy_request.source, copy_request.last_progress_at) {
@@ -219,14 +220,14 @@
         }
     }
 
-    /// The first word of an answer came.
+    /// Records the time to the first answer.
     pub(crate) fn note_answer_time(&mut self, now: Mono, copy_request: &CopyRequest) {
         if let (Source::Home(reach), None) = (copy_request.source, copy_request.last_progress_at) {
             self.answer_times.entry(reach).or_default().note(now - copy_request.asked);
         }
     }
 
-    /// Who was asked has nothing, or cannot be asked any more.
+    /// The asked process has no copy, or can no longer be asked: turns to the next source.
     pub(crate) fn ask_next(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         let source = match self.jobs.get(&id).map(|job| &job.stage) {
             Some(Stage::Home(copy_request)) => self.next_source(copy_request.source),
@@ -235,7 +236,8 @@
         self.ask_source(now, id, source, out);
     }
 
-    /// Who was asked kept silent: the answer is still welcome, and somebody else is asked.
+    /// The asked process did not answer in time: its answer is still accepted, and another source
+    /// is asked.
     pub(crate) fn skip_unresponsive_home(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Stage::Home(copy_request) = job.stage else { return };
@@ -253,7 +255,7 @@
         }
     }
 
-    /// A purge came: what was answered before is not used, and the same one is asked again.
+    /// After a purge: earlier answers are not used, and the same source is asked again.
     pub(crate) fn restart_copy_request(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.overdue.clear();
--- a/crates/edge/src/table.rs
+++ b/crates/edge/src/table.rs
@@ -1,4 +1,4 @@
-//! What an edge routes by: an immutable snapshot, built anew and swapped whole.
+//! What an edge routes by: an immutable snapshot that is rebuilt and replaced as a whole.
 use crate::homes::Homes;
 use crate::route_table::RouteTable;
 use control_state::*;
@@ -6,38 +6,40 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A ledger as it registered.
+/// A ledger as registered.
 #[derive(Clone, Debug)]
 pub struct LedgerNode {
     pub id: NodeId,
     pub addr: Addr,
     pub zone: Zone,
-    /// The life of its disk.
+    /// Incarnation of its disk.
     pub birth: Birth,
 }
 
+/// See the module documentation.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    /// Only live rows.
+    /// The services of each route; only rows in force.
     pub routes: BTreeMap<Lane, Vec<(Svc, Row)>>,
-    /// Only origins that serve.
+    /// Only origins in service.
     pub origins: BTreeMap<Svc, Vec<(Addr, Origin)>>,
-    /// How many edges serve.
+    /// Number of edges in service.
     pub edges: usize,
     homes: Homes,
-    /// See `parts`.
+    /// Each edge's share of the services' rates, see [`parts`].
     edge_weights: BTreeMap<NodeId, f64>,
     pub ledgers: Vec<LedgerNode>,
     pub ledger_sets: Roll,
     pub ledger_sets_version: Version,
     pub shares: BTreeMap<Svc, Share>,
-    /// By host and path.
+    /// Routes by host and path.
     pub paths: RouteTable,
     pub entries: BTreeMap<Lane, Arc<LaneEntry>>,
     pub limits: Option<CallerLimits>,
 }
 
 impl Table {
+    /// Builds the table from the control-state items.
     pub fn build(items: &BTreeMap<Key, Item>) -> Table {
         let (ledger_sets, ledger_sets_version) = (Roll::of(items), Roll::version(items));
         let (edge_weights, homes) = (parts(items), Homes::of(items));
@@ -68,7 +70,7 @@
         table
     }
 
-    /// Edges that are homes for a reach round a zone.
+    /// Edges that are homes for a reach around a zone.
     pub fn homes(&self, reach: Reach, zone: &Zone) -> &[EdgeNode] {
         self.homes.within(reach, zone)
     }
@@ -78,7 +80,7 @@
         self.homes.tiers()
     }
 
-    /// An edge's own requests a second of a service with that share.
+    /// The rate, in requests per second, that an edge may use of a service without borrowing.
     pub fn own_rate(&self, id: NodeId, share: &Share) -> f64 {
         let weight = self.edge_weights.get(&id).copied().unwrap_or(0.0);
         if share.free() {
@@ -102,23 +104,23 @@
         self.entries.insert(Lane(name.to_string()), Arc::new(entry.clone()));
     }
 
-    /// What tells the lane's paths apart from equal ones of its service.
+    /// Distinguishes the route's paths from equal paths of the same service.
     pub fn site(&self, route: &Lane) -> Site {
         Site(self.entries.get(route).map_or_else(|| route.0.clone(), |e| e.host.to_ascii_lowercase()))
     }
 
-    /// The lane by which requests for that path of the site come now, if any.
+    /// The route by which requests for that path of the site currently arrive, if any.
     pub fn route_of(&self, site: &Site, path: &str) -> Option<Lane> {
         let without_host = || Some(Lane(site.0.clone())).filter(|route| !self.entries.contains_key(route));
         self.paths.find(&site.0, path).cloned().or_else(without_host)
     }
 
-    /// The strictest kind of the lane's rows.
+    /// The strictest kind of the route's rows.
     pub fn kind(&self, route: &Lane) -> Option<Kind> {
         self.routes.get(route)?.iter().map(|(_, r)| r.kind).max()
     }
 
-    /// One of the lane's services by weight; `selector` decides, evenly spread.
+    /// Chooses one of the route's services by weight; `selector` should be evenly distributed.
     pub fn pick(&self, route: &Lane, selector: u64) -> Option<(Svc, Row)> {
         let rows = self.routes.get(route)?;
         let total: u64 = rows.iter().map(|(_, r)| r.weight as u64).sum();
--- a/crates/edge/src/updates.rs
+++ b/crates/edge/src/updates.rs
@@ -1,4 +1,4 @@
-//! What updates from the controllers change in an edge.
+//! Effects of updates from the controllers on an edge.
 use crate::edge::Edge;
 use crate::table::Table;
 use control_state::*;
@@ -6,6 +6,7 @@
 use std::sync::Arc;
 
 impl Edge {
+    /// Renews the subscription at a controller when that is due.
     pub(crate) fn subscribe(&mut self, now: Mono, out: &mut Vec<Out>) {
         if self.follow.due(now) {
             let wants = self.wants(now);
@@ -13,20 +14,22 @@
         }
     }
 
+    /// Applies an update and everything that follows from the changed items.
     pub(crate) fn on_update(&mut self, now: Mono, from: Addr, update: Update, out: &mut Vec<Out>) {
-        // A lapse is seen before this update may end it.
+        // An expired lease must be noticed before this update may renew it.
         self.check_lapse(now);
         let (sure_before, era_before) = (self.follow.sure, self.follow.era);
         let changed = self.follow.on_update(now, from, &update, out);
-        // One that served on for so long may have missed purges that nobody remembers.
+        // An edge that has served without a lease for so long may have missed purges that no
+        // controller remembers any more.
         if !is_purge_mark_valid(sure_before, self.follow.sure) {
             self.discard_copies();
         }
-        // Purges that are forgotten count as well, and that goes by eras.
+        // The digest covers forgotten purges too, and those depend on the era.
         if changed.iter().any(Key::is_purge) || era_before != self.follow.era {
             self.purge_digest = None;
         }
-        // The table has nothing of purges in it, and they are the most frequent of all changes.
+        // The table contains nothing of purges, which are the most frequent changes.
         if changed.iter().any(|key| !key.is_purge()) {
             self.table = Arc::new(Table::build(&self.follow.items));
         }
@@ -37,7 +40,7 @@
                 _ => (),
             }
         }
-        // Times of an earlier life's asking would make old beats and slices new.
+        // Request times of an earlier incarnation would make old heartbeats and grants look fresh.
         if let Some(reply) = update.reply.as_ref().filter(|r| r.life == self.follow.env.life) {
             self.record_heartbeats(reply);
             self.accept_borrowed_tokens(now, from, reply, out);
@@ -48,7 +51,8 @@
         }
     }
 
-    /// Copies do not outlast a lapse: purges may have been missed.
+    /// Copies are discarded once a lease that had expired is renewed, since purges may have been
+    /// missed.
     pub(crate) fn check_lapse(&mut self, now: Mono) {
         let leased = self.leased(now);
         if !leased && !self.lapsed {
@@ -62,7 +66,8 @@
         }
     }
 
-    /// Says when too few controllers renew its lease, though it serves on, and when enough do again.
+    /// Reports when too few controllers renew the lease, even if the edge continues to serve, and
+    /// when enough do again.
     pub(crate) fn report_lease_quorum(&mut self, now: Mono, out: &mut Vec<Out>) {
         let has_quorum = self.in_touch(now);
         match (std::mem::replace(&mut self.had_lease_quorum, has_quorum), has_quorum) {
@@ -72,6 +77,7 @@
         }
     }
 
+    /// Discards all copies and the responses being fetched.
     fn discard_copies(&mut self) {
         self.copies.clear();
         self.fills.clear();
