--- a/crates/edge/src/admission.rs
+++ b/crates/edge/src/admission.rs
@@ -195,17 +195,23 @@
     }
 
     /// Takes the tokens lent in a controller's reply and starts queued jobs.
-    pub(crate) fn accept_borrowed_tokens(&mut self, now: Mono, from: Addr, r: &Reply, out: &mut Vec<Out>) {
-        if r.epoch < self.admission.epoch || r.epoch == Epoch(0) {
+    pub(crate) fn accept_borrowed_tokens(
+        &mut self,
+        now: Mono,
+        from: Addr,
+        reply: &Reply,
+        out: &mut Vec<Out>,
+    ) {
+        if reply.epoch < self.admission.epoch || reply.epoch == Epoch(0) {
             return;
         }
-        self.admission.epoch = r.epoch;
+        self.admission.epoch = reply.epoch;
         self.admission.lender = Some(from);
-        if r.slices.is_empty() {
+        if reply.slices.is_empty() {
             return;
         }
-        for (svc, n) in &r.slices {
-            let until = r.ask + BORROWED_TOKEN_TTL;
+        for (svc, n) in &reply.slices {
+            let until = reply.ask + BORROWED_TOKEN_TTL;
             let late = until <= now;
             self.metrics.note_tokens(if late { Token::LentLate } else { Token::Lent }, *n as usize);
             self.token_bucket(now, svc).into_iter().for_each(|bucket| {
--- a/crates/edge/src/body_size.rs
+++ b/crates/edge/src/body_size.rs
@@ -13,14 +13,14 @@
 
 impl BodySizes {
     /// Records a body of that route.
-    pub(crate) fn note(&mut self, lane: &Lane, bytes: usize) {
+    pub(crate) fn note(&mut self, route: &Lane, bytes: usize) {
         let bytes = bytes as f64;
-        let mean = self.means.entry(lane.clone()).or_insert(bytes);
+        let mean = self.means.entry(route.clone()).or_insert(bytes);
         *mean += SMOOTHING_FACTOR * (bytes - *mean);
     }
 
     /// Whether the route's average body is larger than `bytes`; false while no body was observed.
-    pub(crate) fn exceed(&self, lane: &Lane, bytes: usize) -> bool {
-        self.means.get(lane).is_some_and(|mean| *mean > bytes as f64)
+    pub(crate) fn exceed(&self, route: &Lane, bytes: usize) -> bool {
+        self.means.get(route).is_some_and(|mean| *mean > bytes as f64)
     }
 }
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -19,6 +19,7 @@
 /// Settings of one edge.
 #[derive(Clone, Debug)]
 pub struct EdgeEnv {
+    /// Identity of the node and how it follows the control state.
     pub follow: FollowerEnv,
     /// An origin without a heartbeat or a successful probe for this long is not used.
     pub fresh: Span,
@@ -140,19 +141,19 @@
         self.last_number
     }
 
-    /// Until when the configuration lease is valid. It is renewed by a classic quorum of
-    /// controllers.
+    /// Until when the edge may serve: until its lease expires, or without limit if it may serve
+    /// without a lease and was in touch with the controllers before.
     pub fn leased_until(&self) -> Mono {
         self.follow.leased_until()
     }
 
-    /// Whether the configuration lease is valid at `now`.
+    /// Whether the edge may serve at `now`, see [`Edge::leased_until`].
     pub fn leased(&self, now: Mono) -> bool {
         self.follow.leased(now)
     }
 
-    /// Whether a quorum of controllers renews the lease, so that everything in force is known here.
-    /// An edge that serves without a lease may be out of touch.
+    /// Whether enough controllers renew the lease to meet every classic quorum, so that everything
+    /// in force is known here. An edge that serves without a lease may be out of touch.
     pub fn in_touch(&self, now: Mono) -> bool {
         self.follow.lease_quorum_until() > now
     }
@@ -165,28 +166,6 @@
         self.leaving_since.is_some_and(|t| now - t >= self.env.grace)
     }
 
-    fn health(&self, now: Mono) -> Health {
-        let (leaving, drained) = (self.leaving_since.is_some(), self.drained(now));
-        // An edge that serves while out of touch does so only for callers that cannot go elsewhere.
-        let has_quorum = self.in_touch(now);
-        let why = match (drained, leaving, has_quorum) {
-            (true, ..) => "draining",
-            (_, true, _) => "leaving: takes requests for a moment yet",
-            (.., false) => "no setup lease",
-            _ => "",
-        };
-        let mut counts: Vec<_> = self.counters.iter().map(|(k, v)| (*k, *v)).collect();
-        counts.extend([
-            ("copies", self.copies.len() as u64),
-            ("copies bytes", self.copies.bytes() as u64),
-            ("items", self.follow.items.len() as u64),
-            ("outcomes on their way", self.outcome_deliveries.len() as u64),
-            ("forwarded calls", self.forwarded_calls.open() as u64),
-        ]);
-        let in_hand = (self.jobs.len() + self.outcome_deliveries.len()) as u64;
-        Health { ready: why.is_empty(), why, in_hand, accepting_requests: leaving && !drained, counts }
-    }
-
     fn tick(&mut self, now: Mono, out: &mut Vec<Out>) {
         self.subscribe(now, out);
         self.send_members_to_local_controller(now, out);
@@ -239,7 +218,7 @@
                 }
                 Ask::SignOff(tag) => self.forward_call(now, token, Call::SignOff(tag), out),
                 Ask::Read => self.forward_call(now, token, Call::Read(self.follow.digest()), out),
-                _ => out.push(Out::Tell(token, NodeReply::Unavailable("not asked of an edge"))),
+                _ => out.push(Out::Tell(token, NodeReply::Unavailable("not supported by an edge"))),
             },
             In::Msg(from, msg) => match msg {
                 Msg::CallAnswered(n, answer) => self.on_call_answered(now, from, n, *answer, out),
--- a/crates/edge/src/forwarded_calls.rs
+++ b/crates/edge/src/forwarded_calls.rs
@@ -78,8 +78,8 @@
 /// Longest pause between two controllers: possibly all of them are slow rather than one lost.
 const MAX_CONTROLLER_BACKOFF: Span = Span::ms(1400);
 
-fn next_controller_delay(c: &Call) -> Span {
-    match c {
+fn next_controller_delay(call: &Call) -> Span {
+    match call {
         Call::Change(Change { op: Op::Edit(edits), .. }) => {
             let longer = NEXT_CONTROLLER_DELAY + DELAY_PER_EDIT.times(edits.len() as u64);
             longer.min(MAX_CONTROLLER_DELAY)
@@ -89,8 +89,8 @@
 }
 
 /// How long a caller waits for the answer to a call.
-fn call_timeout(c: &Call) -> Span {
-    match c {
+fn call_timeout(call: &Call) -> Span {
+    match call {
         Call::OriginHeartbeat(_) | Call::SignOff(_) => Span::ms(900),
         Call::Read(_) => Span::secs(2),
         Call::Change(_) => Span::secs(4),
@@ -119,13 +119,14 @@
 
     /// The nearest controller; among equally near ones, the one that answered last.
     fn next_controller(&self, asked: &[Addr]) -> Option<Addr> {
-        let me = &self.follow.env;
-        let distance = |m: &Member| (m.addr.0.ip() != me.addr.0.ip(), m.zone != me.zone);
+        let own = &self.follow.env;
+        let distance = |m: &Member| (m.addr.0.ip() != own.addr.0.ip(), m.zone != own.zone);
         let last_answer =
             |m: &Member| std::cmp::Reverse(self.forwarded_calls.last_answers.get(&m.addr).copied());
-        let mut all: Vec<&Member> = self.follow.members.iter().filter(|m| !asked.contains(&m.addr)).collect();
-        all.sort_by_key(|m| (distance(m), last_answer(m)));
-        all.first().map(|m| m.addr)
+        let mut controllers: Vec<&Member> =
+            self.follow.members.iter().filter(|m| !asked.contains(&m.addr)).collect();
+        controllers.sort_by_key(|m| (distance(m), last_answer(m)));
+        controllers.first().map(|m| m.addr)
     }
 
     fn send_forwarded_call(&mut self, now: Mono, n: u64, out: &mut Vec<Out>) {
@@ -170,10 +171,10 @@
         let Some(forwarded) = self.forwarded_calls.open.get_mut(&n) else { return };
         if let CallAnswer::Unavailable(why) = &answer {
             forwarded.note_answer(now, from, Attempt::Declined(why.clone()));
-            forwarded.reason = "no controller in reach can answer now";
+            forwarded.reason = "no reachable controller can answer at present";
             // Once every controller was asked, the next pass waits for its time.
-            let all = self.follow.members.iter().all(|m| forwarded.asked.contains(&m.addr));
-            if !all {
+            let all_asked = self.follow.members.iter().all(|m| forwarded.asked.contains(&m.addr));
+            if !all_asked {
                 self.send_forwarded_call(now, n, out);
             }
             return;
--- a/crates/edge/src/load_balancing.rs
+++ b/crates/edge/src/load_balancing.rs
@@ -27,17 +27,18 @@
     }
 
     /// Expected time of a response, weighted by load and distance. The unit is microseconds.
-    fn expected_cost(&self, a: &Addr, o: &Origin, in_flight: u32, shared: bool) -> f64 {
-        let latency = self.origin_health.latency(a, o.birth).unwrap_or(DEFAULT_RESPONSE_TIME).0 as f64;
+    fn expected_cost(&self, addr: &Addr, origin: &Origin, in_flight: u32, shared: bool) -> f64 {
+        let latency =
+            self.origin_health.latency(addr, origin.birth).unwrap_or(DEFAULT_RESPONSE_TIME).0 as f64;
         let here = &self.follow.env.zone;
         let (zone, region) = if shared { SHARED_DISTANCE_COST } else { UNSHARED_DISTANCE_COST };
-        let distance = match (o.zone == *here, o.zone.region() == here.region()) {
+        let distance = match (origin.zone == *here, origin.zone.region() == here.region()) {
             (true, _) => 0.0,
             (_, true) => zone,
             _ => region,
         };
-        let warming = self.origin_health.heartbeats.get(a).is_some_and(|(b, _)| b.mood == Mood::Warming);
-        let load = in_flight as f64 / o.cap.max(1) as f64 * 2.0;
+        let warming = self.origin_health.heartbeats.get(addr).is_some_and(|(h, _)| h.mood == Mood::Warming);
+        let load = in_flight as f64 / origin.cap.max(1) as f64 * 2.0;
         latency * (1.0 + load + distance + if warming { WARMING_COST } else { 0.0 })
     }
 
--- a/crates/edge/src/origins.rs
+++ b/crates/edge/src/origins.rs
@@ -22,17 +22,18 @@
 
 impl OriginHealth {
     /// The smoothed response time of an incarnation, if one was measured.
-    pub(crate) fn latency(&self, a: &Addr, b: Birth) -> Option<Span> {
-        self.latency.get(&(*a, b)).copied()
+    pub(crate) fn latency(&self, addr: &Addr, birth: Birth) -> Option<Span> {
+        self.latency.get(&(*addr, birth)).copied()
     }
     /// Whether nothing was heard of the origin since it could not be reached.
-    pub(crate) fn is_unreachable(&self, now: Mono, a: &Addr, b: Birth) -> bool {
-        let heard = self.heartbeats.get(a).filter(|(x, _)| x.birth == b).map(|(_, t)| *t).unwrap_or_default();
-        self.unreached.get(&(*a, b)).is_some_and(|t| heard <= *t && now - *t < UNREACHED_COOLDOWN)
+    pub(crate) fn is_unreachable(&self, now: Mono, addr: &Addr, birth: Birth) -> bool {
+        let heard =
+            self.heartbeats.get(addr).filter(|(h, _)| h.birth == birth).map(|(_, t)| *t).unwrap_or_default();
+        self.unreached.get(&(*addr, birth)).is_some_and(|t| heard <= *t && now - *t < UNREACHED_COOLDOWN)
     }
     /// Whether an attempt there failed a moment ago.
-    pub(crate) fn is_failing(&self, now: Mono, a: &Addr, b: Birth) -> bool {
-        self.failing_until.get(&(*a, b)).is_some_and(|t| *t > now)
+    pub(crate) fn is_failing(&self, now: Mono, addr: &Addr, birth: Birth) -> bool {
+        self.failing_until.get(&(*addr, birth)).is_some_and(|t| *t > now)
     }
 }
 
@@ -47,25 +48,31 @@
 
 impl Edge {
     /// Takes the origins' heartbeats from a controller's reply.
-    pub(crate) fn record_heartbeats(&mut self, r: &Reply) {
-        for (b, age) in &r.beats {
-            let heard = r.ask - *age;
-            if b.replaces(heard, self.origin_health.heartbeats.get(&b.addr)) {
-                self.origin_health.heartbeats.insert(b.addr, (b.clone(), heard));
+    pub(crate) fn record_heartbeats(&mut self, reply: &Reply) {
+        for (heartbeat, age) in &reply.beats {
+            let heard = reply.ask - *age;
+            if heartbeat.replaces(heard, self.origin_health.heartbeats.get(&heartbeat.addr)) {
+                self.origin_health.heartbeats.insert(heartbeat.addr, (heartbeat.clone(), heard));
             }
         }
     }
 
     /// Until when this incarnation at this address counts as present.
-    pub(crate) fn fresh_until(&self, a: &Addr, o: &Origin) -> Mono {
-        let heartbeat = self.origin_health.heartbeats.get(a);
-        let by_heartbeat = heartbeat.filter(|(b, _)| b.birth == o.birth && b.svc == o.svc && !b.mood.ends());
-        let probe =
-            self.origin_health.probes.get(a).filter(|(s, b, _)| *s == o.svc && *b == o.birth).map(|p| p.2);
+    pub(crate) fn fresh_until(&self, addr: &Addr, origin: &Origin) -> Mono {
+        let heartbeat = self.origin_health.heartbeats.get(addr);
+        let by_heartbeat =
+            heartbeat.filter(|(h, _)| h.birth == origin.birth && h.svc == origin.svc && !h.mood.ends());
+        let probe = self
+            .origin_health
+            .probes
+            .get(addr)
+            .filter(|(s, b, _)| *s == origin.svc && *b == origin.birth)
+            .map(|p| p.2);
         // A later heartbeat that ends the incarnation, or belongs to another one, outweighs an
         // older probe.
-        let against = heartbeat.filter(|_| by_heartbeat.is_none()).map(|(_, t)| *t).unwrap_or_default();
-        let probe = probe.filter(|t| *t > against);
+        let superseded_before =
+            heartbeat.filter(|_| by_heartbeat.is_none()).map(|(_, t)| *t).unwrap_or_default();
+        let probe = probe.filter(|t| *t > superseded_before);
         let last = by_heartbeat.map(|(_, t)| *t).max(probe).unwrap_or_default();
         if last == Mono(0) {
             Mono(0)
@@ -92,16 +99,14 @@
         });
         let fastest =
             order.iter().filter_map(|(a, o)| self.origin_health.latency.get(&(*a, o.birth))).min().copied();
-        let penalty = |a: &Addr, o: &Origin| {
-            let failing_until =
-                self.origin_health.failing_until.get(&(*a, o.birth)).is_some_and(|t| *t > now);
-            let slow = self
-                .origin_health
-                .latency
-                .get(&(*a, o.birth))
-                .is_some_and(|p| *p > SLOW_MIN && fastest.is_some_and(|q| p.0 > q.0 * SLOW_FACTOR));
-            let full = self.origin_health.heartbeats.get(a).is_some_and(|(b, _)| b.occupancy >= b.cap);
-            failing_until as u8 * 4 + full as u8 * 2 + slow as u8
+        let penalty = |addr: &Addr, origin: &Origin| {
+            let failing =
+                self.origin_health.failing_until.get(&(*addr, origin.birth)).is_some_and(|t| *t > now);
+            let slow = self.origin_health.latency.get(&(*addr, origin.birth)).is_some_and(|latency| {
+                *latency > SLOW_MIN && fastest.is_some_and(|best| latency.0 > best.0 * SLOW_FACTOR)
+            });
+            let full = self.origin_health.heartbeats.get(addr).is_some_and(|(h, _)| h.occupancy >= h.cap);
+            failing as u8 * 4 + full as u8 * 2 + slow as u8
         };
         let mut penalized: Vec<_> = order
             .into_iter()
@@ -114,22 +119,22 @@
     }
 
     /// A response arrived after this time.
-    pub(crate) fn note_latency(&mut self, a: Addr, b: Birth, took: Span) {
-        let smoothed = self.origin_health.latency.entry((a, b)).or_insert(took);
+    pub(crate) fn note_latency(&mut self, addr: Addr, birth: Birth, took: Span) {
+        let smoothed = self.origin_health.latency.entry((addr, birth)).or_insert(took);
         *smoothed = Span((smoothed.0 * 3 + took.0) / 4);
-        self.origin_health.failing_until.remove(&(a, b));
+        self.origin_health.failing_until.remove(&(addr, birth));
     }
 
     /// The origin could not be reached.
-    pub(crate) fn note_unreached(&mut self, now: Mono, a: Addr, b: Birth) {
+    pub(crate) fn note_unreached(&mut self, now: Mono, addr: Addr, birth: Birth) {
         self.origin_health.unreached.retain(|_, t| now - *t < UNREACHED_COOLDOWN);
-        self.origin_health.unreached.insert((a, b), now);
+        self.origin_health.unreached.insert((addr, birth), now);
     }
 
     /// An attempt failed.
-    pub(crate) fn note_failure(&mut self, now: Mono, a: Addr, b: Birth) {
+    pub(crate) fn note_failure(&mut self, now: Mono, addr: Addr, birth: Birth) {
         self.origin_health.failing_until.retain(|_, t| *t > now);
-        self.origin_health.failing_until.insert((a, b), now + FAILURE_COOLDOWN);
+        self.origin_health.failing_until.insert((addr, birth), now + FAILURE_COOLDOWN);
     }
 
     /// Origins whose heartbeats no longer arrive. The edge probes them itself.
--- a/crates/edge/src/policy.rs
+++ b/crates/edge/src/policy.rs
@@ -50,11 +50,11 @@
 
 impl Edge {
     /// When a denied caller should try again.
-    pub(crate) fn retry_after(&self, d: Denied) -> Span {
+    pub(crate) fn retry_after(&self, reason: Denied) -> Span {
         let policy = &self.env.policy;
-        match d {
+        match reason {
             Denied::NoLease => policy.retry_after_no_lease,
-            _ => policy.back.unwrap_or(match d {
+            _ => policy.back.unwrap_or(match reason {
                 Denied::Ceiling | Denied::TooMany => Span::secs(2),
                 Denied::Leaving => Span::secs(3),
                 _ => Span::secs(1),
