--- a/crates/edge/src/load_balancing.rs
+++ b/crates/edge/src/load_balancing.rs
@@ -60,8 +60,8 @@
                 let until = self.fresh_until(&a, &o);
                 let stale = until <= now;
                 let unreachable = self.origin_health.is_unreachable(now, &a, o.birth);
-                let failing_until = self.origin_health.is_failing(now, &a, o.birth);
-                let penalty = unreachable as u8 * 4 + failing_until as u8 * 2 + stale as u8;
+                let failing = self.origin_health.is_failing(now, &a, o.birth);
+                let penalty = unreachable as u8 * 4 + failing as u8 * 2 + stale as u8;
                 let until =
                     if stale && self.follow.env.serve_without_lease { now + Span::secs(1) } else { until };
                 let jitter = 0.75 + (primitives::hash(&(selector, a)) % 1000) as f64 / 2000.0;
