--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -20,7 +20,7 @@
 
 impl Edge {
     /// The identifier under which a request of this incarnation is sent.
-    pub(crate) fn ask_id(&self, n: u64) -> RequestId {
+    pub(crate) fn request_id(&self, n: u64) -> RequestId {
         RequestId { birth: self.follow.env.birth, n }
     }
 
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -196,12 +196,12 @@
             In::Ask(token, ask) => match ask {
                 Ask::Begin(request) => self.begin(now, token, request, out),
                 Ask::Done(n, outcome) => {
-                    self.done(now, n, outcome, out);
+                    self.on_attempt_done(now, n, outcome, out);
                     out.push(Out::Tell(token, NodeReply::Acknowledged));
                 }
                 Ask::Probes => out.push(Out::Tell(token, NodeReply::Probes(self.to_probe(now)))),
                 Ask::ProbeResult(addr, reply, started) => {
-                    self.probed(addr, reply, started);
+                    self.on_probe_result(addr, reply, started);
                     out.push(Out::Tell(token, NodeReply::Acknowledged));
                 }
                 Ask::Limits => out.push(Out::Tell(token, NodeReply::Limits(self.table.limits.clone()))),
--- a/crates/edge/src/expiry.rs
+++ b/crates/edge/src/expiry.rs
@@ -24,7 +24,7 @@
                 // The executor reports every attempt; this covers an executor that died.
                 Stage::Out(round, _) if now > round.answer_deadline + Span::secs(5) => {
                     let n = round.n;
-                    self.done(now, n, FetchOutcome::Lost, out);
+                    self.on_attempt_done(now, n, FetchOutcome::Lost, out);
                 }
                 _ => (),
             }
--- a/crates/edge/src/forwarded_calls.rs
+++ b/crates/edge/src/forwarded_calls.rs
@@ -140,7 +140,7 @@
         }
         if let Some(a) = to {
             forwarded.note_sent(now, a);
-            out.push(Out::Send(a, Msg::Call(self.ask_id(n), Box::new(forwarded.call.clone()))));
+            out.push(Out::Send(a, Msg::Call(self.request_id(n), Box::new(forwarded.call.clone()))));
         }
         self.forwarded_calls.open.insert(n, forwarded);
     }
--- a/crates/edge/src/origins.rs
+++ b/crates/edge/src/origins.rs
@@ -147,7 +147,7 @@
 
     /// Result of a probe that began at `started`; the flag tells whether the origin accepts
     /// requests.
-    pub(crate) fn probed(&mut self, addr: Addr, reply: Option<(Svc, Birth, bool)>, started: Mono) {
+    pub(crate) fn on_probe_result(&mut self, addr: Addr, reply: Option<(Svc, Birth, bool)>, started: Mono) {
         match reply {
             Some((svc, birth, true)) => {
                 self.origin_health.probes.insert(addr, (svc, birth, started));
--- a/crates/edge/src/read.rs
+++ b/crates/edge/src/read.rs
@@ -168,7 +168,7 @@
             );
             if until - now >= MIN_DISK_CACHE_TTL {
                 if let Some(ledger) = self.disk_cache_ledger(now, &object) {
-                    out.push(Out::Send(ledger, Msg::DiskCacheOffer(self.ask_id(id))));
+                    out.push(Out::Send(ledger, Msg::DiskCacheOffer(self.request_id(id))));
                     self.disk_cache_offers.insert(id, object);
                 }
             }
--- a/crates/edge/src/rounds.rs
+++ b/crates/edge/src/rounds.rs
@@ -79,7 +79,7 @@
     }
 
     /// The executor's report on an attempt.
-    pub(crate) fn done(&mut self, now: Mono, n: u64, outcome: FetchOutcome, out: &mut Vec<Out>) {
+    pub(crate) fn on_attempt_done(&mut self, now: Mono, n: u64, outcome: FetchOutcome, out: &mut Vec<Out>) {
         let Some(id) = self.rounds.remove(&n) else { return };
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Stage::Out(round, token) = &job.stage else { return };
--- a/crates/edge/src/sources.rs
+++ b/crates/edge/src/sources.rs
@@ -155,7 +155,7 @@
     }
 
     fn send_copy_request(&mut self, now: Mono, id: u64, copy_request: CopyRequest, out: &mut Vec<Out>) {
-        let ask = self.ask_id(id);
+        let ask = self.request_id(id);
         let Some(job) = self.jobs.get(&id) else { return };
         let (object, heads, patience) = (job.object(), job.req.heads.clone(), job.remaining_patience(now));
         let reach = match copy_request.source {
--- a/crates/edge/src/table.rs
+++ b/crates/edge/src/table.rs
@@ -16,7 +16,7 @@
     pub birth: Birth,
 }
 
-/// See the module documentation.
+/// The routing snapshot of an edge.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     /// The services of each route; only rows in force.
