--- a/crates/edge/src/answers.rs
+++ b/crates/edge/src/answers.rs
@@ -1,5 +1,5 @@
-//! How answers of other processes find the question they belong to. One that belongs to
-//! none is dropped and counted.
+//! Matches answers from other processes to the requests they belong to. An answer that belongs to
+//! no request is dropped and counted.
 use crate::copies::Copy;
 use crate::edge::Edge;
 use crate::jobs::Stage;
@@ -9,41 +9,41 @@
 use primitives::{Addr, Mono, Span};
 use std::sync::Arc;
 
-/// Counts answers to a question of another life, or of another node.
-const OTHER_LIFE: &str = "answers to another life";
-/// Counts answers that nobody waits for: repeated, too late, or from one not asked.
-pub(crate) const UNASKED: &str = "answers nobody waits for";
+/// Counts answers to a request of another incarnation or another node.
+const OTHER_INCARNATION: &str = "answers to another life";
+/// Counts answers that are not expected: repeated, too late, or from a process that was not asked.
+pub(crate) const UNEXPECTED_ANSWER: &str = "answers nobody waits for";
 
-/// An answer of one who knew other purges is used for so long after the question: a purge that it
-/// lacked was not acknowledged by then, or not long ago.
-const UNSURE: Span = Span::secs(1);
+/// How long after the request an answer may be used if its sender knows a different set of purges.
+/// A purge that the sender lacked was then not yet acknowledged, or only just.
+const PURGE_MISMATCH_TTL: Span = Span::secs(1);
 
 impl Edge {
-    /// The name under which a question of this life goes out.
-    pub(crate) fn ask_id(&self, n: u64) -> RequestId {
+    /// The identifier under which a request of this incarnation is sent.
+    pub(crate) fn request_id(&self, n: u64) -> RequestId {
         RequestId { birth: self.follow.env.birth, n }
     }
 
-    /// The number of the question, if this very life asked it.
-    pub(crate) fn own_number(&mut self, ask: RequestId) -> Option<u64> {
+    /// The number of the request, if this incarnation sent it.
+    pub(crate) fn own_request(&mut self, ask: RequestId) -> Option<u64> {
         if ask.birth != self.follow.env.birth {
-            self.count(OTHER_LIFE);
+            self.count(OTHER_INCARNATION);
             return None;
         }
         Some(ask.n)
     }
 
-    /// The job of a round, if this very life of this node began it.
+    /// The job of an attempt, if this incarnation of this node started it.
     pub(crate) fn own_round(&mut self, round: RoundId) -> Option<u64> {
         if round.node != self.follow.env.id {
-            self.count(OTHER_LIFE);
+            self.count(OTHER_INCARNATION);
             return None;
         }
-        self.own_number(RequestId { birth: round.birth, n: round.n })
+        self.own_request(RequestId { birth: round.birth, n: round.n })
     }
 
-    /// A ledger takes the copy: with what is left of its life at this moment.
-    pub(crate) fn on_stock_want(
+    /// A ledger accepts an offered copy: sends it with its remaining time-to-live.
+    pub(crate) fn on_disk_cache_want(
         &mut self,
         now: Mono,
         from: Addr,
@@ -51,12 +51,12 @@
         at: Mono,
         out: &mut Vec<Out>,
     ) {
-        let Some(n) = self.own_number(ask) else { return };
-        let Some(object) = self.offers.remove(&n) else { return self.count(UNASKED) };
+        let Some(id) = self.own_request(ask) else { return };
+        let Some(object) = self.disk_cache_offers.remove(&id) else { return self.count(UNEXPECTED_ANSWER) };
         let copy = self.copies.get(now, &object).filter(|_| self.leased(now));
-        if let Some(c) = copy {
+        if let Some(copy) = copy {
             let mark = mark(&self.follow.items, &object);
-            let shown = c.show(now, c.until);
+            let shown = copy.to_transfer(now, copy.until);
             out.push(Out::Send(
                 from,
                 Msg::DiskCachePut(at, Box::new(DiskCachePut { object, shown, mark, sure: self.follow.sure })),
@@ -64,130 +64,145 @@
         }
     }
 
-    pub(crate) fn on_copy_wait(&mut self, now: Mono, from: Addr, ask: RequestId) {
-        let Some(id) = self.own_number(ask) else { return };
-        let Some((copy_request, _)) = self.answered(id, from) else { return self.count(UNASKED) };
+    /// The home is working on the request: extends its time-out.
+    pub(crate) fn on_copy_pending(&mut self, now: Mono, from: Addr, ask: RequestId) {
+        let Some(id) = self.own_request(ask) else { return };
+        let Some((copy_request, _)) = self.find_copy_request(id, from) else {
+            return self.count(UNEXPECTED_ANSWER);
+        };
         self.note_answer_time(now, &copy_request);
-        self.mute.remove(&from);
-        let Some(j) = self.jobs.get_mut(&id) else { return };
-        let open = j.overdue.iter_mut().find(|i| i.to == from);
-        let current = if let Stage::Home(copy_request) = &mut j.stage { Some(copy_request) } else { None };
-        let same = current.filter(|i| i.to == from).or(open);
-        same.into_iter().for_each(|i| i.last_progress_at = Some(now));
+        self.unresponsive.remove(&from);
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let overdue = job.overdue.iter_mut().find(|request| request.to == from);
+        let current = if let Stage::Home(copy_request) = &mut job.stage { Some(copy_request) } else { None };
+        let matching = current.filter(|request| request.to == from).or(overdue);
+        matching.into_iter().for_each(|request| request.last_progress_at = Some(now));
     }
 
-    /// The question of a job that this answers, if it still waits for it: the last one, or an
-    /// earlier one that was overdue.
-    fn answered(&self, id: u64, from: Addr) -> Option<(CopyRequest, bool)> {
-        let j = self.jobs.get(&id)?;
-        let current = match j.stage {
+    /// The request of a job that this answers, if the job still waits for it, and whether it is the
+    /// current one rather than an earlier, overdue one.
+    fn find_copy_request(&self, id: u64, from: Addr) -> Option<(CopyRequest, bool)> {
+        let job = self.jobs.get(&id)?;
+        let current = match job.stage {
             Stage::Home(copy_request) if copy_request.to == from => Some((copy_request, true)),
             _ => None,
         };
-        let waits = matches!(j.stage, Stage::Home(_) | Stage::Line);
-        let overdue = j.overdue.iter().find(|i| i.to == from).filter(|_| waits);
-        current.or(overdue.map(|i| (*i, false)))
+        let is_waiting = matches!(job.stage, Stage::Home(_) | Stage::Queued);
+        let overdue = job.overdue.iter().find(|request| request.to == from).filter(|_| is_waiting);
+        current.or(overdue.map(|request| (*request, false)))
     }
 
-    pub(crate) fn on_copy_got(
+    /// An answer to a copy request: serves the waiting callers or turns to another source.
+    pub(crate) fn on_copy_result(
         &mut self,
         now: Mono,
         (from, ask): (Addr, RequestId),
-        said: CopyReply,
+        reply: CopyReply,
         purges: u64,
         out: &mut Vec<Out>,
     ) {
-        let Some(id) = self.own_number(ask) else { return };
-        let Some((copy_request, current)) = self.answered(id, from) else { return self.count(UNASKED) };
+        let Some(id) = self.own_request(ask) else { return };
+        let Some((copy_request, current)) = self.find_copy_request(id, from) else {
+            return self.count(UNEXPECTED_ANSWER);
+        };
         self.note_answer_time(now, &copy_request);
-        // It is slow, not gone.
-        self.mute.remove(&from);
-        let Some(j) = self.jobs.get(&id) else { return };
-        let (good, object, lane) = (!j.spoiled && self.leased(now), j.object(), j.req.lane.clone());
-        let lives_long = j.row.ttl >= MIN_DISK_CACHE_TTL;
-        let stocked = copy_request.source == Source::Ledger;
-        // A ledger has looked at its copy's mark itself.
-        let same_purges = stocked || purges == self.purges();
-        // The copy's rest of life counts from when it was asked for.
-        let lives = |left: Span| good && copy_request.asked + left > now;
-        let lapsed_on_its_way = match &said {
-            CopyReply::Got(c) => good && !lives(c.left),
-            CopyReply::Same { left, .. } => good && !lives(*left),
+        // The home is slow, not gone.
+        self.unresponsive.remove(&from);
+        let Some(job) = self.jobs.get(&id) else { return };
+        let (usable, object, route) =
+            (!job.invalidated && self.leased(now), job.object(), job.req.lane.clone());
+        let disk_cacheable = job.row.ttl >= MIN_DISK_CACHE_TTL;
+        let from_ledger = copy_request.source == Source::Ledger;
+        // A ledger has checked the purge mark of its copy itself.
+        let same_purges = from_ledger || purges == self.current_purge_digest();
+        // The remaining time-to-live counts from the time of the request.
+        let is_fresh = |left: Span| usable && copy_request.asked + left > now;
+        let expired_in_transit = match &reply {
+            CopyReply::Got(c) => usable && !is_fresh(c.left),
+            CopyReply::Same { left, .. } => usable && !is_fresh(*left),
             _ => false,
         };
-        match said {
-            CopyReply::Got(c) if self.purged_tags.took(&c.whole.heads, copy_request.asked) => {
+        match reply {
+            CopyReply::Got(c) if self.purged_tags.is_purged(&c.whole.heads, copy_request.asked) => {
                 self.count("purged on their way");
                 if current {
                     self.ask_source(now, id, copy_request.source, out);
                 }
             }
-            CopyReply::Got(c) if lives(c.left) && (same_purges || now - copy_request.asked < UNSURE) => {
+            CopyReply::Got(c)
+                if is_fresh(c.left) && (same_purges || now - copy_request.asked < PURGE_MISMATCH_TTL) =>
+            {
                 let (since, until) = (
                     copy_request.asked - c.current_age,
                     (copy_request.asked + c.left).min(self.leased_until()),
                 );
-                self.count(if stocked { "filled from ledgers" } else { "filled from homes" });
-                // Whoever knew other purges may have shown what one of them took.
-                let sure = same_purges && c.whole.status == 200;
-                self.body_sizes.note(&lane, c.whole.size());
-                let guest = !self.is_home_after(copy_request.source);
-                let copy = Copy { whole: Arc::new(c.whole), public: c.public, since, until, guest };
-                if sure {
+                self.count(if from_ledger { "filled from ledgers" } else { "filled from homes" });
+                // A sender that knew other purges may have sent a copy that one of them covers.
+                let storable = same_purges && c.whole.status == 200;
+                self.body_sizes.note(&route, c.whole.size());
+                let non_home = !self.is_beyond_home_tier(copy_request.source);
+                let copy = Copy { whole: Arc::new(c.whole), public: c.public, since, until, non_home };
+                if storable {
                     self.keep(now, object, copy.clone());
                 }
                 self.serve_copy(now, id, copy, out);
             }
-            CopyReply::Same { left, current_age } if lives(left) => {
+            CopyReply::Same { left, current_age } if is_fresh(left) => {
                 match self.copies.peek(&object).cloned() {
-                    Some(was) => {
+                    Some(cached) => {
                         let (since, until) = (
                             copy_request.asked - current_age,
                             (copy_request.asked + left).min(self.leased_until()),
                         );
                         self.count("renewed from homes");
-                        let copy = Copy { since, until, ..was };
+                        let copy = Copy { since, until, ..cached };
                         self.copies.put(object, copy.clone());
                         self.serve_copy(now, id, copy, out);
                     }
-                    // It left the shelf for room: the whole is wanted after all.
+                    // The copy was evicted meanwhile: the whole response is needed after all.
                     None if current => self.ask_source(now, id, copy_request.source, out),
                     None => (),
                 }
             }
-            // The home's own copy has lapsed too by now: it renews it when it is asked again.
-            _ if lapsed_on_its_way && lives_long && current => {
+            // The home's own copy has expired by now too; the home revalidates it when asked again.
+            _ if expired_in_transit && disk_cacheable && current => {
                 self.count("lapsed on their way");
                 self.ask_source(now, id, copy_request.source, out);
             }
             CopyReply::Uncacheable => self.split_unshared_callers(now, id, None, out),
-            CopyReply::Own(w) => {
-                let s = Step::Serve(Arc::new(*w), AnswerSource::Own, Mono(u64::MAX));
-                self.finish(now, id, s, out);
+            CopyReply::Own(response) => {
+                let step = Step::Serve(Arc::new(*response), AnswerSource::Own, Mono(u64::MAX));
+                self.finish(now, id, step, out);
             }
-            CopyReply::TemporarilyUnavailable if current => self.ask_another(now, id, copy_request, out),
-            CopyReply::AtCeiling if current => self.denied_by_home(now, id, copy_request, out),
+            CopyReply::TemporarilyUnavailable if current => self.ask_other_home(now, id, copy_request, out),
+            CopyReply::AtCeiling if current => self.on_home_at_ceiling(now, id, copy_request, out),
             _ if current => self.ask_next(now, id, out),
             _ => (),
         }
     }
 
-    /// That is the word for those who waited when the home was asked; it is asked again for those
-    /// who came since, and have more time.
-    fn denied_by_home(&mut self, now: Mono, id: u64, copy_request: CopyRequest, out: &mut Vec<Out>) {
-        self.deny_some(now, id, |_, c| c.since <= copy_request.asked, out);
+    /// The home's denial is final for callers that were waiting when it was asked. It is asked
+    /// again for callers that came later and have more time.
+    fn on_home_at_ceiling(&mut self, now: Mono, id: u64, copy_request: CopyRequest, out: &mut Vec<Out>) {
+        self.deny_callers(now, id, |_, c| c.since <= copy_request.asked, out);
         if self.jobs.contains_key(&id) {
             self.ask_source(now, id, copy_request.source, out);
         }
     }
 
-    /// Whether only homes of some reach ask that source; who is none keeps a guest.
-    fn is_home_after(&self, source: Source) -> bool {
+    /// Whether only homes of some reach send requests to that source. An edge that is not a home
+    /// keeps the copy as `non_home`.
+    fn is_beyond_home_tier(&self, source: Source) -> bool {
         source > Source::Home(if self.env.policy.near { Reach::Zone } else { Reach::Deployment })
     }
 
-    fn serve_copy(&mut self, now: Mono, id: u64, c: Copy, out: &mut Vec<Out>) {
-        let out_by = (c.until + DELIVERY_MARGIN).min(self.leased_until());
-        self.finish(now, id, Step::Serve(c.whole, AnswerSource::Copy(now - c.since), out_by), out);
+    fn serve_copy(&mut self, now: Mono, id: u64, copy: Copy, out: &mut Vec<Out>) {
+        let send_deadline = (copy.until + DELIVERY_MARGIN).min(self.leased_until());
+        self.finish(
+            now,
+            id,
+            Step::Serve(copy.whole, AnswerSource::Copy(now - copy.since), send_deadline),
+            out,
+        );
     }
 }
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -5,176 +5,165 @@
 use crate::jobs::Job;
 use crate::local_controller::LocalControllerState;
 use crate::metrics::EdgeMetrics;
-use crate::origins::Seen;
+use crate::origins::OriginHealth;
 use crate::outcome_deliveries::OutcomeDelivery;
 pub use crate::policy::EdgePolicy;
 use crate::purged_tags::PurgedTags;
-use crate::read::Wish;
+use crate::read::CopyRequestOptions;
 use crate::table::Table;
 use control_state::*;
 use primitives::{Addr, Mono, ResponseTimeEstimator, Span};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What an edge is told about itself.
+/// Settings of one edge.
 #[derive(Clone, Debug)]
 pub struct EdgeEnv {
+    /// Identity of the node and how it follows the control state.
     pub follow: FollowerEnv,
-    /// An origin unheard for this long is not used.
+    /// An origin without a heartbeat or a successful probe for this long is not used.
     pub fresh: Span,
-    /// How long an origin may take over an answer.
+    /// How long an origin may take to answer, where no configuration entry sets a time-out.
     pub patience: Span,
-    /// Bytes of copies kept.
+    /// Size limit of the cached copies, in bytes.
     pub copies: usize,
-    /// Requests held at a time, of one service and in all.
+    /// Limits on in-flight requests: of one service, and in total.
     pub hands: (usize, usize),
-    /// How long requests are still taken once it leaves, for callers to notice.
+    /// How long an edge that is leaving still accepts requests, so that callers have time to
+    /// notice.
     pub grace: Span,
-    /// Lost disks of ledgers borne at once; the same at every edge and ledger.
+    /// Number of ledger disks that may be lost at once; the same on every edge and ledger.
     pub losses: usize,
-    /// Copies are offered to ledgers and asked of them.
+    /// Whether copies are offered to, and requested from, the ledgers' disk caches.
     pub disk_cache: bool,
-    /// A granted round must leave within this; the same at every edge and ledger.
+    /// An attempt whose key was granted must be sent within this time; the same on every edge and
+    /// ledger.
     pub leave: Span,
-    /// The controller in the same process, if there is one: it is told who the members are.
+    /// The controller in the same process, if there is one; it is sent the membership.
     pub controller: Option<Addr>,
+    /// Behaviour that a deployment may choose.
     pub policy: EdgePolicy,
 }
 
+/// The decision state of one edge. It is driven by [`Part::step`].
 pub struct Edge {
     pub(crate) env: EdgeEnv,
     pub(crate) follow: Follower,
-    /// Built from what `follow` holds whenever that changes.
+    /// Derived from the items in `follow`; rebuilt whenever they change.
     pub(crate) table: Arc<Table>,
-    /// The lease ran out at some time since the copies were last dropped.
+    /// The lease has expired since the copies were last discarded.
     pub(crate) lapsed: bool,
     pub(crate) had_lease_quorum: bool,
-    pub(crate) seen: Seen,
-    pub(crate) press: Admission,
+    pub(crate) origin_health: OriginHealth,
+    pub(crate) admission: Admission,
     pub(crate) copies: Copies,
     pub(crate) jobs: BTreeMap<u64, Job>,
-    /// The job that fills each object now.
+    /// The job that is fetching each object.
     pub(crate) fills: BTreeMap<Object, u64>,
     pub(crate) rounds: BTreeMap<u64, u64>,
-    /// Of all purges known, unless one came since it was last asked for.
+    /// Digest of all known purges; `None` after a purge arrived, until it is needed again.
     pub(crate) purge_digest: Option<u64>,
-    /// Copies offered to ledgers, by the job that filled them.
-    pub(crate) offers: BTreeMap<u64, Object>,
+    /// Copies offered to ledgers, by the job that fetched them.
+    pub(crate) disk_cache_offers: BTreeMap<u64, Object>,
     pub(crate) outcome_deliveries: Vec<OutcomeDelivery>,
-    /// Objects whose answers lately were not to be shared, and until when each
-    /// caller is answered by the origin.
+    /// Objects whose recent responses were not cacheable. Until the given time each caller's
+    /// request for them goes to the origin by itself.
     pub(crate) unshared: BTreeMap<Object, Mono>,
     pub(crate) body_sizes: BodySizes,
     pub(crate) purged_tags: PurgedTags,
-    /// How long homes take to answer, by their reach.
+    /// Response times of homes, by reach.
     pub(crate) answer_times: BTreeMap<Reach, ResponseTimeEstimator>,
-    /// Edges that lately did not answer.
-    pub(crate) mute: BTreeMap<Addr, Mono>,
+    /// Edges and ledgers that recently did not answer, and until when they are skipped.
+    pub(crate) unresponsive: BTreeMap<Addr, Mono>,
     pub(crate) forwarded_calls: ForwardedCalls,
     pub(crate) local_controller: LocalControllerState,
-    /// When the copies were last looked through.
-    swept: Mono,
-    pub(crate) next: u64,
-    /// Since when it leaves: not ready at once, but taking requests for the grace.
-    pub(crate) leaving: Option<Mono>,
-    pub(crate) counts: BTreeMap<&'static str, u64>,
+    /// When expired copies were last removed.
+    last_sweep: Mono,
+    pub(crate) last_number: u64,
+    /// When the edge began to leave: it reports not ready at once, but accepts requests for
+    /// `grace`.
+    pub(crate) leaving_since: Option<Mono>,
+    pub(crate) counters: BTreeMap<&'static str, u64>,
     pub(crate) metrics: EdgeMetrics,
 }
 
 impl Edge {
+    /// An edge without configuration, copies or lease.
     pub fn new(env: EdgeEnv) -> Edge {
         Edge {
             table: Arc::new(Table::default()),
             follow: Follower::new(env.follow.clone()),
             lapsed: true,
             had_lease_quorum: false,
-            seen: Seen::default(),
-            press: Admission::default(),
+            origin_health: OriginHealth::default(),
+            admission: Admission::default(),
             copies: Copies::new(env.copies),
             jobs: BTreeMap::new(),
             fills: BTreeMap::new(),
             rounds: BTreeMap::new(),
             purge_digest: None,
-            offers: BTreeMap::new(),
+            disk_cache_offers: BTreeMap::new(),
             outcome_deliveries: vec![],
             unshared: BTreeMap::new(),
             body_sizes: BodySizes::default(),
             purged_tags: PurgedTags::default(),
             answer_times: BTreeMap::new(),
-            mute: BTreeMap::new(),
+            unresponsive: BTreeMap::new(),
             forwarded_calls: ForwardedCalls::default(),
             local_controller: LocalControllerState::default(),
-            swept: Mono(0),
-            // Lives begin at different numbers, for some choices are spread by them.
-            // Answers find their questions by the life as well, see `answers`.
-            next: env.follow.birth.0 << 20,
-            leaving: None,
-            counts: BTreeMap::new(),
+            last_sweep: Mono(0),
+            // Each incarnation starts at a different number, because some choices are spread by it.
+            // Answers are matched to requests by incarnation as well, see `answers`.
+            last_number: env.follow.birth.0 << 20,
+            leaving_since: None,
+            counters: BTreeMap::new(),
             metrics: EdgeMetrics::default(),
             env,
         }
     }
 
+    /// The control-state items known here.
     pub fn items(&self) -> &BTreeMap<Key, Item> {
         &self.follow.items
     }
 
-    /// Its figures, to be entered into a registry.
+    /// The edge's metrics, for a registry. The clone counts into the same values.
     pub fn metrics(&self) -> EdgeMetrics {
         self.metrics.clone()
     }
 
     pub(crate) fn count(&mut self, name: &'static str) {
-        *self.counts.entry(name).or_default() += 1;
+        *self.counters.entry(name).or_default() += 1;
     }
 
     pub(crate) fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+        self.last_number += 1;
+        self.last_number
     }
 
-    /// Until when the setup lease holds: a classic quorum of controllers carries it.
+    /// Until when the edge may serve: until its lease expires, or without limit if it may serve
+    /// without a lease and was in touch with the controllers before.
     pub fn leased_until(&self) -> Mono {
         self.follow.leased_until()
     }
 
+    /// Whether the edge may serve at `now`, see [`Edge::leased_until`].
     pub fn leased(&self, now: Mono) -> bool {
         self.follow.leased(now)
     }
 
-    /// Holds all that is in force, serving on or not.
+    /// Whether enough controllers renew the lease to meet every classic quorum, so that everything
+    /// in force is known here. An edge that serves without a lease may be out of touch.
     pub fn in_touch(&self, now: Mono) -> bool {
         self.follow.lease_quorum_until() > now
     }
 
     pub(crate) fn leave(&mut self, now: Mono) {
-        self.leaving = self.leaving.or(Some(now));
+        self.leaving_since = self.leaving_since.or(Some(now));
     }
 
     pub(crate) fn drained(&self, now: Mono) -> bool {
-        self.leaving.is_some_and(|t| now - t >= self.env.grace)
-    }
-
-    fn health(&self, now: Mono) -> Health {
-        let (leaving, drained) = (self.leaving.is_some(), self.drained(now));
-        // One that serves on out of touch does so for callers that have nowhere else to go.
-        let fit = self.in_touch(now);
-        let why = match (drained, leaving, fit) {
-            (true, ..) => "draining",
-            (_, true, _) => "leaving: takes requests for a moment yet",
-            (.., false) => "no setup lease",
-            _ => "",
-        };
-        let mut counts: Vec<_> = self.counts.iter().map(|(k, v)| (*k, *v)).collect();
-        counts.extend([
-            ("copies", self.copies.len() as u64),
-            ("copies bytes", self.copies.bytes() as u64),
-            ("items", self.follow.items.len() as u64),
-            ("outcomes on their way", self.outcome_deliveries.len() as u64),
-            ("forwarded calls", self.forwarded_calls.open() as u64),
-        ]);
-        let in_hand = (self.jobs.len() + self.outcome_deliveries.len()) as u64;
-        Health { ready: why.is_empty(), why, in_hand, accepting_requests: leaving && !drained, counts }
+        self.leaving_since.is_some_and(|t| now - t >= self.env.grace)
     }
 
     fn tick(&mut self, now: Mono, out: &mut Vec<Out>) {
@@ -186,16 +175,16 @@
         self.expire_jobs(now, out);
         self.push_outcomes(now, out);
         self.advance_forwarded_calls(now, out);
-        if now - self.swept >= Span::ms(500) {
-            self.swept = now;
+        if now - self.last_sweep >= Span::ms(500) {
+            self.last_sweep = now;
             self.copies.drop_old(now);
             self.unshared.retain(|_, t| *t > now);
             self.move_queued_fills_to_homes(now, out);
             self.send_fill_progress(now, out);
             self.forget_purged_tags(now);
         }
-        while self.offers.len() > 1000 {
-            self.offers.pop_first();
+        while self.disk_cache_offers.len() > 1000 {
+            self.disk_cache_offers.pop_first();
         }
     }
 }
@@ -204,45 +193,47 @@
     fn step(&mut self, now: Mono, inp: In, out: &mut Vec<Out>) {
         match inp {
             In::Tick => self.tick(now, out),
-            In::Ask(t, a) => match a {
-                Ask::Begin(r) => self.begin(now, t, r, out),
-                Ask::Done(n, f) => {
-                    self.done(now, n, f, out);
-                    out.push(Out::Tell(t, NodeReply::Acknowledged));
+            In::Ask(token, ask) => match ask {
+                Ask::Begin(request) => self.begin(now, token, request, out),
+                Ask::Done(n, outcome) => {
+                    self.on_attempt_done(now, n, outcome, out);
+                    out.push(Out::Tell(token, NodeReply::Acknowledged));
                 }
-                Ask::Probes => out.push(Out::Tell(t, NodeReply::Probes(self.to_probe(now)))),
-                Ask::ProbeResult(a, said, began) => {
-                    self.probed(a, said, began);
-                    out.push(Out::Tell(t, NodeReply::Acknowledged));
+                Ask::Probes => out.push(Out::Tell(token, NodeReply::Probes(self.to_probe(now)))),
+                Ask::ProbeResult(addr, reply, started) => {
+                    self.on_probe_result(addr, reply, started);
+                    out.push(Out::Tell(token, NodeReply::Acknowledged));
                 }
-                Ask::Limits => out.push(Out::Tell(t, NodeReply::Limits(self.table.limits.clone()))),
-                Ask::Ready => out.push(Out::Tell(t, NodeReply::Health(self.health(now)))),
+                Ask::Limits => out.push(Out::Tell(token, NodeReply::Limits(self.table.limits.clone()))),
+                Ask::Ready => out.push(Out::Tell(token, NodeReply::Health(self.health(now)))),
                 Ask::Drain => {
                     self.leave(now);
                     out.push(Out::Note("draining"));
-                    out.push(Out::Tell(t, NodeReply::Health(self.health(now))));
+                    out.push(Out::Tell(token, NodeReply::Health(self.health(now))));
+                }
+                Ask::Table => out.push(Out::Tell(token, self.own_table(now))),
+                Ask::Change(change) => self.forward_call(now, token, Call::Change(change), out),
+                Ask::OriginHeartbeat(heartbeat, _) => {
+                    self.forward_call(now, token, Call::OriginHeartbeat(heartbeat), out)
                 }
-                Ask::Table => out.push(Out::Tell(t, self.own_table(now))),
-                Ask::Change(c) => self.forward_call(now, t, Call::Change(c), out),
-                Ask::OriginHeartbeat(b, _) => self.forward_call(now, t, Call::OriginHeartbeat(b), out),
-                Ask::SignOff(tag) => self.forward_call(now, t, Call::SignOff(tag), out),
-                Ask::Read => self.forward_call(now, t, Call::Read(self.follow.digest()), out),
-                _ => out.push(Out::Tell(t, NodeReply::Unavailable("not asked of an edge"))),
+                Ask::SignOff(tag) => self.forward_call(now, token, Call::SignOff(tag), out),
+                Ask::Read => self.forward_call(now, token, Call::Read(self.follow.digest()), out),
+                _ => out.push(Out::Tell(token, NodeReply::Unavailable("not supported by an edge"))),
             },
-            In::Msg(from, m) => match m {
-                Msg::CallAnswered(n, said) => self.on_call_answered(now, from, n, *said, out),
-                Msg::Update(n) => self.on_update(now, from, *n, out),
+            In::Msg(from, msg) => match msg {
+                Msg::CallAnswered(n, answer) => self.on_call_answered(now, from, n, *answer, out),
+                Msg::Update(update) => self.on_update(now, from, *update, out),
                 Msg::CopyQuery { ask, object, heads, reach, held, patience } => {
-                    let wish = Wish { heads, reach, held, patience };
-                    self.on_copy_ask(now, (from, ask), object, wish, out)
+                    let options = CopyRequestOptions { heads, reach, held, patience };
+                    self.on_copy_query(now, (from, ask), object, options, out)
                 }
-                Msg::CopyPending(ask) => self.on_copy_wait(now, from, ask),
-                Msg::CopyResult { ask, said, purges } => {
-                    self.on_copy_got(now, (from, ask), said, purges, out)
+                Msg::CopyPending(ask) => self.on_copy_pending(now, from, ask),
+                Msg::CopyResult { ask, said: reply, purges } => {
+                    self.on_copy_result(now, (from, ask), reply, purges, out)
                 }
-                Msg::DiskCacheWant { ask, at } => self.on_stock_want(now, from, ask, at, out),
-                Msg::Claimed { round, said, .. } => self.on_claimed(now, from, round, said, out),
-                Msg::Kept { round, .. } => self.on_kept(now, from, round),
+                Msg::DiskCacheWant { ask, at } => self.on_disk_cache_want(now, from, ask, at, out),
+                Msg::Claimed { round, said: vote, .. } => self.on_claimed(now, from, round, vote, out),
+                Msg::Kept { round, .. } => self.on_outcome_stored(now, from, round),
                 _ => self.count("stray"),
             },
         }
--- a/crates/edge/src/jobs.rs
+++ b/crates/edge/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Requests in hand, from the first look to the last word.
+//! In-flight requests, from admission to the final answer.
 use crate::edge::Edge;
 pub(crate) use crate::job::*;
 use crate::read::DELIVERY_MARGIN;
@@ -6,61 +6,66 @@
 use primitives::{Mono, Span, Token};
 use std::sync::Arc;
 
-/// Methods that act, so that running once matters.
-const KEYED: [&str; 4] = ["POST", "PUT", "PATCH", "DELETE"];
-/// In time, where nobody says what is.
-const AIM: Span = Span::secs(1);
-pub(crate) const HOME: Span = Span::ms(400);
+/// Methods that change state, for which executing a request only once matters.
+const KEYED_METHODS: [&str; 4] = ["POST", "PUT", "PATCH", "DELETE"];
+/// Answers within this time are in time, where the configuration sets no target.
+const DEFAULT_LATENCY_TARGET: Span = Span::secs(1);
+/// How long the ledgers may take to vote on a claim before the votes are counted.
+pub(crate) const CLAIM_TIMEOUT: Span = Span::ms(400);
 
 impl Edge {
-    pub(crate) fn begin(&mut self, now: Mono, t: Token, req: CallerRequest, out: &mut Vec<Out>) {
+    /// A new request from a caller of this edge.
+    pub(crate) fn begin(&mut self, now: Mono, token: Token, req: CallerRequest, out: &mut Vec<Out>) {
         self.count("requests");
-        self.enter(now, t, Arc::new(req), out);
+        self.dispatch(now, token, Arc::new(req), out);
     }
 
-    pub(crate) fn enter(&mut self, now: Mono, t: Token, req: Arc<CallerRequest>, out: &mut Vec<Out>) {
-        let caller = Caller::Local(t, req.clone());
+    /// Admits the request and starts its job, or denies it.
+    pub(crate) fn dispatch(&mut self, now: Mono, token: Token, req: Arc<CallerRequest>, out: &mut Vec<Out>) {
+        let caller = Caller::Local(token, req.clone());
         match self.admit(now, (*req).clone()) {
-            Err(d) => self.tell(now, &caller, Step::Deny(d, self.retry_after(d)), out),
-            Ok(mut j) => {
-                j.callers.push(Waiting::new(caller, now, j.by));
-                match j.kind {
-                    Kind::Read => self.read(now, j, out),
+            Err(reason) => {
+                self.answer_caller(now, &caller, Step::Deny(reason, self.retry_after(reason)), out)
+            }
+            Ok(mut job) => {
+                job.callers.push(Waiting::new(caller, now, job.deadline));
+                match job.kind {
+                    Kind::Read => self.read(now, job, out),
                     Kind::Plain | Kind::Once => {
-                        self.launch(now, j, out);
+                        self.enqueue_new_job(now, job, out);
                     }
-                    Kind::Keyed => self.claim(now, j, out),
+                    Kind::Keyed => self.claim(now, job, out),
                 }
             }
         }
     }
 
-    /// A job for the request, or why it is denied.
+    /// Creates a job for the request, or returns why it is denied.
     pub(crate) fn admit(&mut self, now: Mono, req: CallerRequest) -> Result<Job, Denied> {
-        let yes = |ok: bool, d: Denied| ok.then_some(()).ok_or(d);
-        yes(!self.drained(now), Denied::Leaving)?;
-        yes(self.leased(now), Denied::NoLease)?;
-        yes(self.jobs.len() < self.env.hands.1, Denied::TooMany)?;
-        let found = |h: &String| self.table.paths.find(h, &req.path).cloned();
-        let lane = req.host.as_ref().map_or(Some(req.lane.clone()), found).ok_or(Denied::NoLane)?;
+        let require = |ok: bool, reason: Denied| ok.then_some(()).ok_or(reason);
+        require(!self.drained(now), Denied::Leaving)?;
+        require(self.leased(now), Denied::NoLease)?;
+        require(self.jobs.len() < self.env.hands.1, Denied::TooMany)?;
+        let find_route = |host: &String| self.table.paths.find(host, &req.path).cloned();
+        let lane = req.host.as_ref().map_or(Some(req.lane.clone()), find_route).ok_or(Denied::NoLane)?;
         let req = CallerRequest { lane, ..req };
         let kind = self.table.kind(&req.lane).ok_or(Denied::NoLane)?;
         let entry = self.table.entries.get(&req.lane).cloned();
-        yes(kind != Kind::Read || is_safe_method(&req.method), Denied::BadMethod)?;
-        yes(kind != Kind::Keyed || KEYED.contains(&req.method.as_str()), Denied::BadMethod)?;
-        yes(kind != Kind::Keyed || req.key.is_some(), Denied::NoKey)?;
-        // One object, and one key, always meets the same service.
-        let spin = match kind {
+        require(kind != Kind::Read || is_safe_method(&req.method), Denied::BadMethod)?;
+        require(kind != Kind::Keyed || KEYED_METHODS.contains(&req.method.as_str()), Denied::BadMethod)?;
+        require(kind != Kind::Keyed || req.key.is_some(), Denied::NoKey)?;
+        // The same object, and the same key, always goes to the same service.
+        let selector = match kind {
             Kind::Read => primitives::hash(&req.path),
             Kind::Keyed => primitives::hash(&req.key),
             Kind::Plain | Kind::Once => self.number().wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 16,
         };
-        let (svc, row) = self.table.pick(&req.lane, spin).ok_or(Denied::NoOrigin)?;
-        // One service that hangs leaves room for the others.
-        let held = self.jobs.values().filter(|j| j.svc == svc).count();
-        let most = entry.as_ref().map_or(self.env.patience, |e| e.timeout);
-        let by = now + req.left.map_or(most, |l| l.min(most));
-        yes(held < self.env.hands.0, Denied::TooMany)?;
+        let (svc, row) = self.table.pick(&req.lane, selector).ok_or(Denied::NoOrigin)?;
+        // A service that hangs must not take the capacity of the others.
+        let in_flight = self.jobs.values().filter(|job| job.svc == svc).count();
+        let max_wait = entry.as_ref().map_or(self.env.patience, |e| e.timeout);
+        let deadline = now + req.left.map_or(max_wait, |left| left.min(max_wait));
+        require(in_flight < self.env.hands.0, Denied::TooMany)?;
         Ok(Job {
             site: self.table.site(&req.lane),
             req,
@@ -68,29 +73,30 @@
             row,
             kind,
             callers: vec![],
-            stage: Stage::Line,
+            stage: Stage::Queued,
             stage_since: now,
-            tries: 0,
-            unsent: 0,
-            tried: vec![],
-            spoiled: false,
+            sent_attempts: 0,
+            unsent_attempts: 0,
+            tried_origins: vec![],
+            invalidated: false,
             unshared: false,
-            plain: false,
+            unconditional: false,
             home_reach: None,
             overdue: vec![],
             claim: None,
             send_deadline: Mono(u64::MAX),
-            due: now + entry.as_ref().map_or(AIM, |e| e.aim),
-            by,
-            attempts: entry.map_or(3, |e| e.attempts),
-            refused: 0,
+            target_deadline: now + entry.as_ref().map_or(DEFAULT_LATENCY_TARGET, |e| e.aim),
+            deadline,
+            max_attempts: entry.map_or(3, |e| e.attempts),
+            refused_attempts: 0,
         })
     }
 
-    pub(crate) fn tell(&mut self, now: Mono, c: &Caller, s: Step, out: &mut Vec<Out>) {
-        match (c, s) {
-            (Caller::Local(t, _), s) => {
-                let name = match &s {
+    /// Sends a caller the result of its job.
+    pub(crate) fn answer_caller(&mut self, now: Mono, caller: &Caller, step: Step, out: &mut Vec<Out>) {
+        match (caller, step) {
+            (Caller::Local(token, _), step) => {
+                let counter = match &step {
                     Step::Serve(_, AnswerSource::Copy(_), _) => "served from copies",
                     Step::Serve(_, AnswerSource::Own, _) => "not to be passed on",
                     Step::Serve(_, AnswerSource::Record, _) => "served from records",
@@ -98,15 +104,15 @@
                     Step::Deny(..) => "denied",
                     Step::OutcomeUnknown(_) => "in doubt",
                 };
-                self.count(name);
-                if let Step::Deny(reason, _) = &s {
+                self.count(counter);
+                if let Step::Deny(reason, _) = &step {
                     self.metrics.note_denial(*reason);
                 }
-                out.push(Out::Tell(*t, NodeReply::Step(s)));
+                out.push(Out::Tell(*token, NodeReply::Step(step)));
             }
-            (Caller::Edge(a, ask), s) => {
-                let shown = |w: &Arc<Whole>, until, current_age| {
-                    let whole = w.kept();
+            (Caller::Edge(addr, ask), step) => {
+                let transferred = |response: &Arc<Whole>, until, current_age| {
+                    let whole = response.kept();
                     CopyReply::Got(Box::new(TransferredCopy {
                         whole,
                         left: until - now,
@@ -114,47 +120,49 @@
                         public: false,
                     }))
                 };
-                let said = match s {
-                    Step::Serve(w, AnswerSource::Own, _) => CopyReply::Own(Box::new(w.kept())),
-                    // The time that an answer may be on its way out is no part of a copy's life.
-                    Step::Serve(w, AnswerSource::Copy(current_age), until) => {
-                        shown(&w, until - DELIVERY_MARGIN, current_age)
+                let reply = match step {
+                    Step::Serve(response, AnswerSource::Own, _) => CopyReply::Own(Box::new(response.kept())),
+                    // The time allowed for delivery is not part of a copy's time-to-live.
+                    Step::Serve(response, AnswerSource::Copy(current_age), until) => {
+                        transferred(&response, until - DELIVERY_MARGIN, current_age)
                     }
-                    Step::Serve(w, _, until) => shown(&w, until, Span(0)),
+                    Step::Serve(response, _, until) => transferred(&response, until, Span(0)),
                     Step::Deny(Denied::Ceiling, _) => CopyReply::AtCeiling,
                     _ => CopyReply::None,
                 };
-                out.push(self.copy_got(*a, *ask, said));
+                out.push(self.copy_result(*addr, *ask, reply));
             }
         }
     }
 
-    /// The job's last word, to all who wait for it.
-    pub(crate) fn finish(&mut self, now: Mono, id: u64, s: Step, out: &mut Vec<Out>) {
-        if let Some(j) = self.jobs.remove(&id) {
-            self.metrics.note_wait(&j.stage, now - j.stage_since);
-            if self.fills.get(&j.object()) == Some(&id) {
-                self.fills.remove(&j.object());
+    /// Ends the job and answers all its callers.
+    pub(crate) fn finish(&mut self, now: Mono, id: u64, step: Step, out: &mut Vec<Out>) {
+        if let Some(job) = self.jobs.remove(&id) {
+            self.metrics.note_wait(&job.stage, now - job.stage_since);
+            if self.fills.get(&job.object()) == Some(&id) {
+                self.fills.remove(&job.object());
             }
-            if matches!(s, Step::Deny(..)) {
-                self.release(&j, out);
+            if matches!(step, Step::Deny(..)) {
+                self.release(&job, out);
             }
-            j.callers.iter().for_each(|c| self.tell(now, &c.caller, s.clone(), out));
+            job.callers.iter().for_each(|c| self.answer_caller(now, &c.caller, step.clone(), out));
         }
     }
 
-    /// Denied means that nothing went out; after a try that did, it is doubt.
-    pub(crate) fn deny(&mut self, now: Mono, id: u64, d: Denied, out: &mut Vec<Out>) {
-        let s = self.denial(id, d);
-        self.finish(now, id, s, out);
+    /// Denies the request if nothing was sent. After an attempt that may have reached an origin the
+    /// outcome is unknown.
+    pub(crate) fn deny(&mut self, now: Mono, id: u64, reason: Denied, out: &mut Vec<Out>) {
+        let step = self.denial(id, reason);
+        self.finish(now, id, step, out);
     }
 
-    pub(crate) fn denial(&self, id: u64, d: Denied) -> Step {
-        let sent = self.jobs.get(&id).is_some_and(|j| j.tries > 0);
+    /// The answer of a denied job, see `deny`.
+    pub(crate) fn denial(&self, id: u64, reason: Denied) -> Step {
+        let sent = self.jobs.get(&id).is_some_and(|job| job.sent_attempts > 0);
         if sent {
-            Step::OutcomeUnknown(self.retry_after(d))
+            Step::OutcomeUnknown(self.retry_after(reason))
         } else {
-            Step::Deny(d, self.retry_after(d))
+            Step::Deny(reason, self.retry_after(reason))
         }
     }
 }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,4 +1,6 @@
-//! The edge, a pure part: the decision object that executors ask and obey.
+//! Decision logic of the edge proxy: routing, admission, cached copies and idempotency keys.
+//! [`Edge`] is a pure state machine: it performs no I/O, and an executor feeds it events and
+//! carries out what it decides.
 mod admission;
 mod answers;
 mod body_size;
@@ -9,6 +11,7 @@
 mod expiry;
 mod fill_progress;
 mod forwarded_calls;
+mod health;
 mod homes;
 mod job;
 mod jobs;
@@ -16,6 +19,7 @@
 mod load_balancing;
 mod local_controller;
 mod metrics;
+mod nearby_origins;
 mod origins;
 mod outcome_deliveries;
 mod policy;
--- a/crates/edge/src/origins.rs
+++ b/crates/edge/src/origins.rs
@@ -4,60 +4,76 @@
 use primitives::{Addr, Birth, Mono, Span};
 use std::collections::BTreeMap;
 
+/// What this edge has observed of the origins.
 #[derive(Debug, Default)]
-pub(crate) struct Seen {
-    /// When each beat was heard, at the latest, by this edge's clock: counted
-    /// back from when it asked, so that a message read late is not fresh.
-    pub beats: BTreeMap<Addr, (OriginHeartbeat, Mono)>,
+pub(crate) struct OriginHealth {
+    /// Each origin's latest heartbeat and the latest time, by this edge's clock, at which it was
+    /// current. Counted back from the time of the edge's request, so that a message that is read
+    /// late does not count as fresh.
+    pub heartbeats: BTreeMap<Addr, (OriginHeartbeat, Mono)>,
     probes: BTreeMap<Addr, (Svc, Birth, Mono)>,
-    /// Lives that just failed a round, and until when they are passed over.
-    bad: BTreeMap<(Addr, Birth), Mono>,
-    /// How long each life's answers take, smoothed.
-    pace: BTreeMap<(Addr, Birth), Span>,
-    /// Lives that could not be reached, and when that was tried.
+    /// Incarnations whose attempt just failed, and until when they are avoided.
+    failing_until: BTreeMap<(Addr, Birth), Mono>,
+    /// Smoothed response time of each incarnation.
+    latency: BTreeMap<(Addr, Birth), Span>,
+    /// Incarnations that could not be reached, and when that was tried.
     unreached: BTreeMap<(Addr, Birth), Mono>,
 }
 
-impl Seen {
-    pub(crate) fn pace(&self, a: &Addr, b: Birth) -> Option<Span> {
-        self.pace.get(&(*a, b)).copied()
+impl OriginHealth {
+    /// The smoothed response time of an incarnation, if one was measured.
+    pub(crate) fn latency(&self, addr: &Addr, birth: Birth) -> Option<Span> {
+        self.latency.get(&(*addr, birth)).copied()
     }
-    /// Nothing was heard of it since it could not be reached.
-    pub(crate) fn is_unreached(&self, now: Mono, a: &Addr, b: Birth) -> bool {
-        let heard = self.beats.get(a).filter(|(x, _)| x.birth == b).map(|(_, t)| *t).unwrap_or_default();
-        self.unreached.get(&(*a, b)).is_some_and(|t| heard <= *t && now - *t < UNREACHED)
+    /// Whether nothing was heard of the origin since it could not be reached.
+    pub(crate) fn is_unreachable(&self, now: Mono, addr: &Addr, birth: Birth) -> bool {
+        let heard =
+            self.heartbeats.get(addr).filter(|(h, _)| h.birth == birth).map(|(_, t)| *t).unwrap_or_default();
+        self.unreached.get(&(*addr, birth)).is_some_and(|t| heard <= *t && now - *t < UNREACHED_COOLDOWN)
     }
-    pub(crate) fn is_failing(&self, now: Mono, a: &Addr, b: Birth) -> bool {
-        self.bad.get(&(*a, b)).is_some_and(|t| *t > now)
+    /// Whether an attempt there failed a moment ago.
+    pub(crate) fn is_failing(&self, now: Mono, addr: &Addr, birth: Birth) -> bool {
+        self.failing_until.get(&(*addr, birth)).is_some_and(|t| *t > now)
     }
 }
 
-const PASS_OVER: Span = Span::ms(500);
-/// Silent ones are tried again after so long, beat or not.
-const UNREACHED: Span = Span::secs(8);
-/// Slower than the service's quickest by this factor, and than this at all.
-const SLOW_BY: u64 = 4;
-const SLOW: Span = Span::ms(150);
+/// How long an origin is avoided after a failed attempt.
+const FAILURE_COOLDOWN: Span = Span::ms(500);
+/// Unreachable origins are tried again after this time, even without a heartbeat.
+const UNREACHED_COOLDOWN: Span = Span::secs(8);
+/// An origin is slow if it is slower than the service's fastest by this factor, and slower than
+/// `SLOW_MIN`.
+const SLOW_FACTOR: u64 = 4;
+const SLOW_MIN: Span = Span::ms(150);
 
 impl Edge {
-    pub(crate) fn take_beats(&mut self, r: &Reply) {
-        for (b, age) in &r.beats {
-            let heard = r.ask - *age;
-            if b.replaces(heard, self.seen.beats.get(&b.addr)) {
-                self.seen.beats.insert(b.addr, (b.clone(), heard));
+    /// Takes the origins' heartbeats from a controller's reply.
+    pub(crate) fn record_heartbeats(&mut self, reply: &Reply) {
+        for (heartbeat, age) in &reply.beats {
+            let heard = reply.ask - *age;
+            if heartbeat.replaces(heard, self.origin_health.heartbeats.get(&heartbeat.addr)) {
+                self.origin_health.heartbeats.insert(heartbeat.addr, (heartbeat.clone(), heard));
             }
         }
     }
 
-    /// Until when this life at this address counts as there.
-    pub(crate) fn fresh_until(&self, a: &Addr, o: &Origin) -> Mono {
-        let beat = self.seen.beats.get(a);
-        let by_beat = beat.filter(|(b, _)| b.birth == o.birth && b.svc == o.svc && !b.mood.ends());
-        let probe = self.seen.probes.get(a).filter(|(s, b, _)| *s == o.svc && *b == o.birth).map(|p| p.2);
-        // A later word of leaving, or of another life, outweighs an older probe.
-        let against = beat.filter(|_| by_beat.is_none()).map(|(_, t)| *t).unwrap_or_default();
-        let probe = probe.filter(|t| *t > against);
-        let last = by_beat.map(|(_, t)| *t).max(probe).unwrap_or_default();
+    /// Until when this incarnation at this address counts as present.
+    pub(crate) fn fresh_until(&self, addr: &Addr, origin: &Origin) -> Mono {
+        let heartbeat = self.origin_health.heartbeats.get(addr);
+        let by_heartbeat =
+            heartbeat.filter(|(h, _)| h.birth == origin.birth && h.svc == origin.svc && !h.mood.ends());
+        let probe = self
+            .origin_health
+            .probes
+            .get(addr)
+            .filter(|(s, b, _)| *s == origin.svc && *b == origin.birth)
+            .map(|p| p.2);
+        // A later heartbeat that ends the incarnation, or belongs to another one, outweighs an
+        // older probe.
+        let superseded_before =
+            heartbeat.filter(|_| by_heartbeat.is_none()).map(|(_, t)| *t).unwrap_or_default();
+        let probe = probe.filter(|t| *t > superseded_before);
+        let last = by_heartbeat.map(|(_, t)| *t).max(probe).unwrap_or_default();
         if last == Mono(0) {
             Mono(0)
         } else {
@@ -65,73 +81,79 @@
         }
     }
 
-    /// Usable origins of a service for this object or key: its own first, then
-    /// that one's understudy, then the rest; slow and failing ones last.
-    pub(crate) fn candidates(&self, now: Mono, svc: &Svc, on: u64) -> Vec<(Addr, Origin, Mono)> {
+    /// Usable origins of a service for this object or key: first the one it is assigned to, then
+    /// that one's standby origin, then the rest; slow and failing ones last.
+    pub(crate) fn candidates(&self, now: Mono, svc: &Svc, rendezvous_key: u64) -> Vec<(Addr, Origin, Mono)> {
         let all = self.table.origins.get(svc).cloned().unwrap_or_default();
-        let ranked = primitives::rank(&on, &all, |(a, _)| primitives::hash(a));
+        let ranked = primitives::rank(&rendezvous_key, &all, |(a, _)| primitives::hash(a));
         let Some(first) = ranked.first().cloned() else { return vec![] };
-        let under = understudy(&first.0, &all);
+        let standby = understudy(&first.0, &all);
         let mut order = vec![first];
-        order.extend(under);
+        order.extend(standby);
         order.extend(ranked);
-        let mut seen = vec![];
+        let mut listed = vec![];
         order.retain(|(a, _)| {
-            let new = !seen.contains(a);
-            seen.push(*a);
+            let new = !listed.contains(a);
+            listed.push(*a);
             new
         });
-        let quick = order.iter().filter_map(|(a, o)| self.seen.pace.get(&(*a, o.birth))).min().copied();
-        let demerits = |a: &Addr, o: &Origin| {
-            let bad = self.seen.bad.get(&(*a, o.birth)).is_some_and(|t| *t > now);
-            let slow = self
-                .seen
-                .pace
-                .get(&(*a, o.birth))
-                .is_some_and(|p| *p > SLOW && quick.is_some_and(|q| p.0 > q.0 * SLOW_BY));
-            let full = self.seen.beats.get(a).is_some_and(|(b, _)| b.occupancy >= b.cap);
-            bad as u8 * 4 + full as u8 * 2 + slow as u8
+        let fastest =
+            order.iter().filter_map(|(a, o)| self.origin_health.latency.get(&(*a, o.birth))).min().copied();
+        let penalty = |addr: &Addr, origin: &Origin| {
+            let failing =
+                self.origin_health.failing_until.get(&(*addr, origin.birth)).is_some_and(|t| *t > now);
+            let slow = self.origin_health.latency.get(&(*addr, origin.birth)).is_some_and(|latency| {
+                *latency > SLOW_MIN && fastest.is_some_and(|best| latency.0 > best.0 * SLOW_FACTOR)
+            });
+            let full = self.origin_health.heartbeats.get(addr).is_some_and(|(h, _)| h.occupancy >= h.cap);
+            failing as u8 * 4 + full as u8 * 2 + slow as u8
         };
-        let mut v: Vec<_> = order
+        let mut penalized: Vec<_> = order
             .into_iter()
             .map(|(a, o)| (a, self.fresh_until(&a, &o), o))
             .filter(|(_, until, _)| *until > now)
-            .map(|(a, until, o)| (demerits(&a, &o), (a, o, until)))
+            .map(|(a, until, o)| (penalty(&a, &o), (a, o, until)))
             .collect();
-        v.sort_by_key(|(d, _)| *d);
-        v.into_iter().map(|(_, c)| c).collect()
+        penalized.sort_by_key(|(penalty, _)| *penalty);
+        penalized.into_iter().map(|(_, candidate)| candidate).collect()
     }
 
-    pub(crate) fn note_latency(&mut self, a: Addr, b: Birth, took: Span) {
-        let was = self.seen.pace.entry((a, b)).or_insert(took);
-        *was = Span((was.0 * 3 + took.0) / 4);
-        self.seen.bad.remove(&(a, b));
+    /// A response arrived after this time.
+    pub(crate) fn note_latency(&mut self, addr: Addr, birth: Birth, took: Span) {
+        let smoothed = self.origin_health.latency.entry((addr, birth)).or_insert(took);
+        *smoothed = Span((smoothed.0 * 3 + took.0) / 4);
+        self.origin_health.failing_until.remove(&(addr, birth));
     }
 
-    pub(crate) fn note_unreached(&mut self, now: Mono, a: Addr, b: Birth) {
-        self.seen.unreached.retain(|_, t| now - *t < UNREACHED);
-        self.seen.unreached.insert((a, b), now);
+    /// The origin could not be reached.
+    pub(crate) fn note_unreached(&mut self, now: Mono, addr: Addr, birth: Birth) {
+        self.origin_health.unreached.retain(|_, t| now - *t < UNREACHED_COOLDOWN);
+        self.origin_health.unreached.insert((addr, birth), now);
     }
 
-    pub(crate) fn note_failure(&mut self, now: Mono, a: Addr, b: Birth) {
-        self.seen.bad.retain(|_, t| *t > now);
-        self.seen.bad.insert((a, b), now + PASS_OVER);
+    /// An attempt failed.
+    pub(crate) fn note_failure(&mut self, now: Mono, addr: Addr, birth: Birth) {
+        self.origin_health.failing_until.retain(|_, t| *t > now);
+        self.origin_health.failing_until.insert((addr, birth), now + FAILURE_COOLDOWN);
     }
 
-    /// Origins whose beats no longer come through: the edge asks them itself.
+    /// Origins whose heartbeats no longer arrive. The edge probes them itself.
     pub(crate) fn to_probe(&self, now: Mono) -> Vec<Addr> {
-        let stale =
-            |a: &Addr| self.seen.beats.get(a).is_none_or(|(_, t)| now - *t > Span(self.env.fresh.0 / 2));
+        let stale = |a: &Addr| {
+            self.origin_health.heartbeats.get(a).is_none_or(|(_, t)| now - *t > Span(self.env.fresh.0 / 2))
+        };
         self.table.origins.values().flatten().map(|(a, _)| *a).filter(stale).collect()
     }
 
-    pub(crate) fn probed(&mut self, a: Addr, said: Option<(Svc, Birth, bool)>, began: Mono) {
-        match said {
+    /// Result of a probe that began at `started`; the flag tells whether the origin accepts
+    /// requests.
+    pub(crate) fn on_probe_result(&mut self, addr: Addr, reply: Option<(Svc, Birth, bool)>, started: Mono) {
+        match reply {
             Some((svc, birth, true)) => {
-                self.seen.probes.insert(a, (svc, birth, began));
+                self.origin_health.probes.insert(addr, (svc, birth, started));
             }
             _ => {
-                self.seen.probes.remove(&a);
+                self.origin_health.probes.remove(&addr);
             }
         }
     }
--- a/crates/edge/src/queue.rs
+++ b/crates/edge/src/queue.rs
@@ -1,126 +1,133 @@
-//! The line for a service at its ceiling: who waits, in which order, and who is told at once
-//! that it cannot be served in the time that it has.
+//! Queues for services at their rate ceiling: the order of the requests, and which requests are
+//! denied at once because they cannot be served in time.
 //!
-//! A burst that is over soon leaves all time to be served, late if need be; where more comes all
-//! the time than the ceiling gives, those are served that can still be served in time.
+//! In a short burst all requests are served, late if necessary. Under sustained overload those
+//! requests are served that can still be answered in time.
 use crate::edge::Edge;
 use crate::jobs::*;
 use control_state::*;
 use primitives::{Mono, Span};
 use std::collections::BTreeMap;
 
-/// A request waits in line for at most this part of the time that it has, in hundredths: it is
-/// told before half of its time is over.
-const PATIENCE: u64 = 45;
-const MICROS_A_SECOND: f64 = 1e6;
+/// Share of its time, in percent, that a request may spend in the queue: it is denied before half
+/// of its time has passed.
+const MAX_QUEUE_TIME_PERCENT: u64 = 45;
+const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Where a request stands in line: the more urgent first, of them those that can still be served
-/// in time, and of them who has waited longer.
+/// Position of a request in the queue: by rank, then those that can still be served in time, then
+/// by waiting time.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Place {
+pub(crate) struct QueuePosition {
     rank: u8,
     late: bool,
     since: Mono,
 }
 impl Job {
-    pub(crate) fn in_line(&self) -> bool {
-        matches!(self.stage, Stage::Line)
+    pub(crate) fn is_queued(&self) -> bool {
+        matches!(self.stage, Stage::Queued)
     }
 
-    fn place(&self, now: Mono) -> Place {
-        Place { rank: self.row.rank, late: now >= self.due, since: self.stage_since }
+    /// The job's position in its queue.
+    fn queue_position(&self, now: Mono) -> QueuePosition {
+        QueuePosition { rank: self.row.rank, late: now >= self.target_deadline, since: self.stage_since }
     }
 
-    /// Until when a caller of it waits in line. What was sent once may wait again.
+    /// Until when a caller of this job may be queued. A request that was sent once may be queued
+    /// again.
     pub(crate) fn queue_deadline(&self, caller: &Waiting) -> Mono {
-        if self.tries == 0 {
+        if self.sent_attempts == 0 {
             caller.queue_deadline
         } else {
-            queue_deadline_for(self.stage_since, caller.by)
+            queue_deadline_for(self.stage_since, caller.deadline)
         }
     }
 
-    /// The same of its most patient caller.
+    /// The same for the caller that may wait longest.
     fn latest_queue_deadline(&self) -> Mono {
         self.callers.iter().map(|c| self.queue_deadline(c)).fold(self.stage_since, Mono::max)
     }
 
-    /// How long its callers wait yet.
-    pub(crate) fn patience(&self, now: Mono) -> Patience {
-        Patience { in_line: self.latest_queue_deadline() - now, left: self.by - now }
+    /// How long its callers will still wait.
+    pub(crate) fn remaining_patience(&self, now: Mono) -> Patience {
+        Patience { in_line: self.latest_queue_deadline() - now, left: self.deadline - now }
     }
 }
 
-fn queue_deadline_for(since: Mono, by: Mono) -> Mono {
-    since + Span((by - since).0 * PATIENCE / 100)
+/// Until when a request may be queued that has the time from `since` to `deadline`.
+fn queue_deadline_for(since: Mono, deadline: Mono) -> Mono {
+    since + Span((deadline - since).0 * MAX_QUEUE_TIME_PERCENT / 100)
 }
 
 impl Waiting {
-    /// Of this edge's own.
-    pub(crate) fn new(caller: Caller, since: Mono, by: Mono) -> Waiting {
-        Waiting { caller, since, queue_deadline: queue_deadline_for(since, by), by }
+    /// A caller of this edge.
+    pub(crate) fn new(caller: Caller, since: Mono, deadline: Mono) -> Waiting {
+        Waiting { caller, since, queue_deadline: queue_deadline_for(since, deadline), deadline }
     }
 
-    /// Of another edge's, as it said.
+    /// Another edge, with the time limits that it stated.
     pub(crate) fn of_edge(caller: Caller, since: Mono, patience: Patience) -> Waiting {
-        Waiting { caller, since, queue_deadline: since + patience.in_line, by: since + patience.left }
+        Waiting { caller, since, queue_deadline: since + patience.in_line, deadline: since + patience.left }
     }
 }
 
 impl Edge {
-    /// Into the line for the service; out of it at once if there is leave.
+    /// Adds the job to the service's queue, and starts it at once if a token is available.
     pub(crate) fn enqueue_job(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
-        self.stage(now, id, Stage::Line);
-        let Some(j) = self.jobs.get(&id) else { return };
-        let (svc, place, first) = (j.svc.clone(), j.place(now), j.tries == 0 && j.unsent == 0);
-        let patience = j.latest_queue_deadline() - now;
-        if first {
+        self.set_stage(now, id, Stage::Queued);
+        let Some(job) = self.jobs.get(&id) else { return };
+        let (svc, queue_position, first_attempt) =
+            (job.svc.clone(), job.queue_position(now), job.sent_attempts == 0 && job.unsent_attempts == 0);
+        let max_wait = job.latest_queue_deadline() - now;
+        if first_attempt {
             self.note_first_attempt(now, &svc);
         }
-        let ahead = |o: &Job| o.in_line() && o.svc == svc && o.place(now) <= place;
-        let before = self.jobs.iter().filter(|(i, o)| **i != id && ahead(o)).count();
-        if before == 0 {
+        let is_ahead = |other: &Job| {
+            other.is_queued() && other.svc == svc && other.queue_position(now) <= queue_position
+        };
+        let ahead = self.jobs.iter().filter(|(other, job)| **other != id && is_ahead(job)).count();
+        if ahead == 0 {
             self.start_round(now, id, out);
-        } else if self.wait_behind(&svc, before) > patience {
-            // Not even all that this edge may get could serve it in time: it is told so now.
+        } else if self.min_queue_time(&svc, ahead) > max_wait {
+            // Even at the highest rate this edge may get, it could not be served in time: it is
+            // denied now.
             self.deny(now, id, Denied::Ceiling, out);
         }
     }
 
-    /// Whether anybody here has had to wait for leave to ask that service.
+    /// Whether any request here has had to wait for a token of that service.
     pub(crate) fn has_queued_jobs(&self, now: Mono, svc: &Svc) -> bool {
-        self.jobs.values().any(|j| j.in_line() && j.svc == *svc && j.stage_since < now)
+        self.jobs.values().any(|job| job.is_queued() && job.svc == *svc && job.stage_since < now)
     }
 
-    /// Lets the lines move, each until somebody in it has to wait.
+    /// Starts queued jobs in order; each queue stops at the first job that has to wait.
     pub(crate) fn start_queued_jobs(&mut self, now: Mono, out: &mut Vec<Out>) {
-        for line in self.lines(now) {
-            for id in line {
+        for queue in self.queues(now) {
+            for id in queue {
                 self.start_round(now, id, out);
-                if self.jobs.get(&id).is_some_and(Job::in_line) {
+                if self.jobs.get(&id).is_some_and(Job::is_queued) {
                     break;
                 }
             }
         }
     }
 
-    /// Those who wait for each service, in order.
-    fn lines(&self, now: Mono) -> Vec<Vec<u64>> {
-        let mut lines: BTreeMap<&Svc, Vec<(Place, u64)>> = BTreeMap::new();
-        for (id, j) in self.jobs.iter().filter(|(_, j)| j.in_line()) {
-            lines.entry(&j.svc).or_default().push((j.place(now), *id));
+    /// Queued jobs of each service, in order.
+    fn queues(&self, now: Mono) -> Vec<Vec<u64>> {
+        let mut queues: BTreeMap<&Svc, Vec<(QueuePosition, u64)>> = BTreeMap::new();
+        for (id, job) in self.jobs.iter().filter(|(_, job)| job.is_queued()) {
+            queues.entry(&job.svc).or_default().push((job.queue_position(now), *id));
         }
-        let in_order = |mut line: Vec<(Place, u64)>| {
-            line.sort_unstable();
-            line.into_iter().map(|(_, id)| id).collect()
+        let sorted_ids = |mut queue: Vec<(QueuePosition, u64)>| {
+            queue.sort_unstable();
+            queue.into_iter().map(|(_, id)| id).collect()
         };
-        lines.into_values().map(in_order).collect()
+        queues.into_values().map(sorted_ids).collect()
     }
 
-    /// How long it takes at least until so many of the line have gone.
-    fn wait_behind(&self, svc: &Svc, before: usize) -> Span {
+    /// Minimum time until `ahead` requests of the queue have been started.
+    fn min_queue_time(&self, svc: &Svc, ahead: usize) -> Span {
         let Some(share) = self.table.shares.get(svc) else { return Span(0) };
-        let most = self.table.own_rate(self.follow.env.id, share) + share.lent;
-        Span((before as f64 / most * MICROS_A_SECOND) as u64)
+        let max_rate = self.table.own_rate(self.follow.env.id, share) + share.lent;
+        Span((ahead as f64 / max_rate * MICROS_PER_SECOND) as u64)
     }
 }
--- a/crates/edge/src/sources.rs
+++ b/crates/edge/src/sources.rs
@@ -1,30 +1,31 @@
-//! Where a copy of an object is got: from the object's homes, a ledger, or an origin.
+//! Where the copy of an object comes from: one of the object's homes, a ledger, or an origin.
 //!
-//! An edge asks the home of its zone, that one the home of its region, this one the home of the
-//! deployment, and only that one the origin, so that an origin is asked once for all. A home that
-//! keeps silent is passed over: its asker turns to the next source, not to the origin.
+//! An edge asks the home of its zone, which asks the home of its region, which asks the home of the
+//! deployment, and only that one asks the origin, so that an origin is asked once for all. A home
+//! that does not answer is skipped: its requester turns to the next source, not to the origin.
 //!
-//! Invariant: who acts for a reach waits only for who acts for a wider one, so edges that see
-//! different homes never wait for one another in a circle.
+//! Invariant: an edge acting for a reach waits only for one acting for a wider reach, so edges that
+//! see different homes never wait for one another in a circle.
 use crate::edge::Edge;
 use crate::jobs::*;
 use control_state::*;
 use primitives::{Addr, Mono, Span};
 
-/// Copies that live shorter are not worth a ledger's disk.
+/// Copies with a shorter time-to-live are not worth a ledger's disk.
 pub(crate) const MIN_DISK_CACHE_TTL: Span = Span::secs(1);
-/// A home that kept silent is passed over for so long.
-const PASSED_OVER: Span = Span::secs(2);
-/// No home is waited for longer.
-const LONGEST_WAIT: Span = Span::secs(1);
-/// A home that is at it says so again and again; one that has not for so long is gone.
-const SILENT_AT_IT: Span = Span::ms(1500);
-/// A home that said it is out of touch is passed over for so long.
-const OUT_OF_TOUCH: Span = Span::ms(300);
-/// Homes of the widest reach that are asked before the origin.
-const WIDEST_HOMES: u8 = 2;
-
-/// What a job asks for its object, in this order.
+/// How long a home that did not answer is skipped.
+const UNRESPONSIVE_COOLDOWN: Span = Span::secs(2);
+/// Longest time to wait for a home.
+const MAX_HOME_TIMEOUT: Span = Span::secs(1);
+/// A home that is working on a request reports so repeatedly; after this time without a report it
+/// counts as lost.
+const PROGRESS_TIMEOUT: Span = Span::ms(1500);
+/// How long a home is skipped that reported to be out of touch.
+const NO_QUORUM_COOLDOWN: Span = Span::ms(300);
+/// Number of homes of the widest reach that are asked before the origin.
+const MAX_WIDEST_HOMES: u8 = 2;
+
+/// The sources of an object, in the order in which a job asks them.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Source {
     Home(Reach),
@@ -32,19 +33,19 @@
     Origin,
 }
 
-/// A question under way.
+/// A copy request in progress.
 #[derive(Copy, Clone, Debug)]
 pub(crate) struct CopyRequest {
     pub to: Addr,
-    /// Lives of what it answers count from here.
+    /// The time-to-live of the answer counts from here.
     pub asked: Mono,
     pub source: Source,
-    /// When it said last that it is at it.
+    /// When the other process last reported progress.
     pub last_progress_at: Option<Mono>,
 }
 
 impl Edge {
-    /// The reaches that homes have here, the nearest first.
+    /// The reaches that have homes in this deployment, nearest first.
     fn reaches(&self) -> &'static [Reach] {
         if self.env.policy.near {
             self.table.tiers()
@@ -53,71 +54,79 @@
         }
     }
 
-    /// The first home by rendezvous of those that have not kept silent lately.
+    /// The first home by rendezvous hashing that has not recently failed to answer.
     pub(crate) fn home(&self, now: Mono, object: &Object, reach: Reach) -> Option<Addr> {
         let homes = self.table.homes(reach, &self.follow.env.zone).iter();
-        let speaks = |e: &&EdgeNode| self.mute.get(&e.addr).is_none_or(|t| *t <= now);
-        primitives::first(object, homes.filter(speaks), |e| e.id.0, |e| e.capacity).map(|e| e.addr)
+        let is_responsive = |e: &&EdgeNode| self.unresponsive.get(&e.addr).is_none_or(|t| *t <= now);
+        primitives::first(object, homes.filter(is_responsive), |e| e.id.0, |e| e.capacity).map(|e| e.addr)
     }
 
-    /// The ledger that stocks an object, of this edge's region, if ledgers stock any.
-    pub(crate) fn disk_cache_ledger(&self, now: Mono, obj: &Object) -> Option<Addr> {
+    /// The ledger of this edge's region whose disk cache may hold the object, if ledgers have disk
+    /// caches.
+    pub(crate) fn disk_cache_ledger(&self, now: Mono, object: &Object) -> Option<Addr> {
         if !self.env.disk_cache {
             return None;
         }
-        let here = self.follow.env.zone.region();
-        let near: Vec<_> = self.table.ledgers.iter().filter(|l| l.zone.region() == here).cloned().collect();
-        let ranked = primitives::rank(obj, &near, |l| l.id.0);
-        let speaks = |a: &Addr| self.mute.get(a).is_none_or(|t| *t <= now);
-        ranked.into_iter().map(|l| l.addr).next().filter(speaks)
+        let region = self.follow.env.zone.region();
+        let candidates: Vec<_> =
+            self.table.ledgers.iter().filter(|l| l.zone.region() == region).cloned().collect();
+        let ranked = primitives::rank(object, &candidates, |l| l.id.0);
+        let is_responsive = |a: &Addr| self.unresponsive.get(a).is_none_or(|t| *t <= now);
+        ranked.into_iter().map(|l| l.addr).next().filter(is_responsive)
     }
 
-    /// The first source that is to be asked by one who acts for that reach, or for callers.
+    /// The first source to ask for a home of that reach, or for this edge's own callers.
     pub(crate) fn first_source(&self, now: Mono, object: &Object, home_reach: Option<Reach>) -> Source {
-        let me = self.follow.env.addr;
-        let wider = self.reaches().iter().filter(|r| home_reach.is_none_or(|acts| **r > acts));
-        // Who is the home of a reach asks nobody of a nearer one.
-        let own = self.reaches().iter().rev().find(|r| self.home(now, object, **r) == Some(me));
-        let mut asked = wider.filter(|r| own.is_none_or(|own| *r > own));
-        asked.next().map_or(Source::Ledger, |r| Source::Home(*r))
-    }
-
-    /// Who was asked is out of touch: another home of the same reach, or the next source.
-    pub(crate) fn ask_another(&mut self, now: Mono, id: u64, copy_request: CopyRequest, out: &mut Vec<Out>) {
-        self.mute.insert(copy_request.to, now + OUT_OF_TOUCH);
+        let own_addr = self.follow.env.addr;
+        let wider = self.reaches().iter().filter(|r| home_reach.is_none_or(|acting| **r > acting));
+        // The home of a reach does not ask homes of nearer reaches.
+        let own_reach = self.reaches().iter().rev().find(|r| self.home(now, object, **r) == Some(own_addr));
+        let mut to_ask = wider.filter(|r| own_reach.is_none_or(|own| *r > own));
+        to_ask.next().map_or(Source::Ledger, |r| Source::Home(*r))
+    }
+
+    /// The asked home is out of touch: asks another home of the same reach, or the next source.
+    pub(crate) fn ask_other_home(
+        &mut self,
+        now: Mono,
+        id: u64,
+        copy_request: CopyRequest,
+        out: &mut Vec<Out>,
+    ) {
+        self.unresponsive.insert(copy_request.to, now + NO_QUORUM_COOLDOWN);
         self.ask_source(now, id, copy_request.source, out);
     }
 
-    /// Fills that stand in line here for want of a home: once there is one that speaks, they are
-    /// left to it.
+    /// Queued fetches that are here because no home was available move to a home once one answers.
     pub(crate) fn move_queued_fills_to_homes(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let fill = |j: &Job| j.in_line() && j.kind == Kind::Read && !j.unshared;
-        let fills: Vec<u64> = self.jobs.iter().filter(|(_, j)| fill(j)).map(|(id, _)| *id).collect();
-        fills.into_iter().for_each(|id| self.leave_line_for_home(now, id, out));
+        let is_queued_fill = |job: &Job| job.is_queued() && job.kind == Kind::Read && !job.unshared;
+        let fills: Vec<u64> =
+            self.jobs.iter().filter(|(_, job)| is_queued_fill(job)).map(|(id, _)| *id).collect();
+        fills.into_iter().for_each(|id| self.move_queued_fill_to_home(now, id, out));
     }
 
-    fn leave_line_for_home(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
-        let Some(j) = self.jobs.get(&id) else { return };
-        let (object, home_reach) = (j.object(), j.home_reach);
+    fn move_queued_fill_to_home(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
+        let Some(job) = self.jobs.get(&id) else { return };
+        let (object, home_reach) = (job.object(), job.home_reach);
         let mut source = self.first_source(now, &object, home_reach);
         while let Source::Home(reach) = source {
             if self.home_to_ask(now, &object, reach).is_some() {
                 self.count("left a line for a home");
                 return self.ask_source(now, id, source, out);
             }
-            source = self.after(source);
+            source = self.next_source(source);
         }
     }
 
-    /// Asks the source, or the next one that there is.
+    /// Asks the source, or the next one that exists.
     pub(crate) fn ask_source(&mut self, now: Mono, id: u64, source: Source, out: &mut Vec<Out>) {
-        let Some(j) = self.jobs.get_mut(&id) else { return };
-        j.spoiled = false;
-        let (object, lives) = (j.object(), j.row.ttl >= MIN_DISK_CACHE_TTL);
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        job.invalidated = false;
+        let (object, disk_cacheable) = (job.object(), job.row.ttl >= MIN_DISK_CACHE_TTL);
         self.fills.insert(object.clone(), id);
         let to = match source {
             Source::Home(reach) => self.home_to_ask(now, &object, reach),
-            Source::Ledger => self.disk_cache_ledger(now, &object).filter(|_| lives),
+            Source::Ledger => self.disk_cache_ledger(now, &object).filter(|_| disk_cacheable),
             Source::Origin => return self.enqueue_job(now, id, out),
         };
         match to {
@@ -127,62 +136,35 @@
                 CopyRequest { to, asked: now, source, last_progress_at: None },
                 out,
             ),
-            None => self.ask_source(now, id, self.after(source), out),
+            None => self.ask_source(now, id, self.next_source(source), out),
         }
     }
 
-    /// The home of that reach, if it is another edge and not passed by.
+    /// The home of that reach, if it is another edge and not bypassed.
     fn home_to_ask(&self, now: Mono, object: &Object, reach: Reach) -> Option<Addr> {
-        if self.rather_near(now, object, reach) {
+        if self.prefers_nearby_origin(now, object, reach) {
             return None;
         }
         self.home(now, object, reach).filter(|home| *home != self.follow.env.addr)
     }
 
-    /// Whether an origin of the own zone or region is asked rather than a home beyond it: for a
-    /// large body of which there is nothing to be renewed.
-    fn rather_near(&self, now: Mono, object: &Object, reach: Reach) -> bool {
-        let here = &self.follow.env.zone;
-        let at_hand = |origin: &Origin| match reach {
-            Reach::Zone => false,
-            Reach::Region => origin.zone == *here,
-            Reach::Deployment => origin.zone.region() == here.region(),
-        };
-        let usable =
-            |(addr, origin): &(Addr, Origin)| at_hand(origin) && self.fresh_until(addr, origin) > now;
-        let Some(lane) = self.table.lane_of(&object.site, &object.path) else { return false };
-        let origins = self.table.origins.get(&object.service).map_or(&[][..], Vec::as_slice);
-        let renewable = || self.copies.peek(object).is_some_and(|c| c.whole.heads.has("etag"));
-        // Within a region origins are spared the others' fills where they have few slots, and
-        // as soon as they are pressed.
-        let spared = || {
-            let slots: u32 = origins.iter().map(|(_, origin)| origin.cap).sum();
-            reach == Reach::Region
-                && ((slots as usize) < self.table.edges || self.has_queued_jobs(now, &object.service))
-        };
-        self.body_sizes.exceed(&lane, self.env.policy.cross_region_body_limit)
-            && !renewable()
-            && origins.iter().any(usable)
-            && !spared()
-    }
-
-    fn after(&self, source: Source) -> Source {
+    fn next_source(&self, source: Source) -> Source {
         let Source::Home(reach) = source else { return Source::Origin };
         let wider = self.reaches().iter().find(|r| **r > reach);
         wider.map_or(Source::Ledger, |r| Source::Home(*r))
     }
 
     fn send_copy_request(&mut self, now: Mono, id: u64, copy_request: CopyRequest, out: &mut Vec<Out>) {
-        let ask = self.ask_id(id);
-        let Some(j) = self.jobs.get(&id) else { return };
-        let (object, heads, patience) = (j.object(), j.req.heads.clone(), j.patience(now));
+        let ask = self.request_id(id);
+        let Some(job) = self.jobs.get(&id) else { return };
+        let (object, heads, patience) = (job.object(), job.req.heads.clone(), job.remaining_patience(now));
         let reach = match copy_request.source {
             Source::Home(reach) => reach,
             _ => Reach::Deployment,
         };
-        // Only what is kept here can be renewed.
-        let lapsed = self.copies.peek(&object);
-        let held = lapsed.and_then(|c| c.whole.heads.get("etag")).map(str::to_string);
+        // Only a copy that is kept here can be revalidated.
+        let cached = self.copies.peek(&object);
+        let held = cached.and_then(|c| c.whole.heads.get("etag")).map(str::to_string);
         let held = held.filter(|_| copy_request.source != Source::Ledger);
         self.count(match copy_request.source {
             Source::Home(Reach::Zone) => "asked of zone homes",
@@ -191,60 +173,66 @@
             _ => "asked of ledgers",
         });
         out.push(Out::Send(copy_request.to, Msg::CopyQuery { ask, object, heads, reach, held, patience }));
-        self.stage(now, id, Stage::Home(copy_request));
+        self.set_stage(now, id, Stage::Home(copy_request));
     }
 
-    /// How long whoever was asked may take.
-    pub(crate) fn patience_with(&self, copy_request: &CopyRequest) -> Span {
+    /// How long the asked process may take.
+    pub(crate) fn copy_request_timeout(&self, copy_request: &CopyRequest) -> Span {
         let policy = &self.env.policy;
         match (copy_request.source, copy_request.last_progress_at) {
-            (_, Some(said)) => said - copy_request.asked + SILENT_AT_IT,
+            (_, Some(last_progress)) => last_progress - copy_request.asked + PROGRESS_TIMEOUT,
             (Source::Home(reach), None) => {
-                let least = if reach == Reach::Zone { policy.home } else { policy.wide_home_timeout };
-                self.answer_times.get(&reach).copied().unwrap_or_default().limit(least, LONGEST_WAIT)
+                let min_timeout = if reach == Reach::Zone { policy.home } else { policy.wide_home_timeout };
+                self.answer_times
+                    .get(&reach)
+                    .copied()
+                    .unwrap_or_default()
+                    .limit(min_timeout, MAX_HOME_TIMEOUT)
             }
             _ => policy.home,
         }
     }
 
-    /// The first word of an answer came.
+    /// Records the time to the first answer.
     pub(crate) fn note_answer_time(&mut self, now: Mono, copy_request: &CopyRequest) {
         if let (Source::Home(reach), None) = (copy_request.source, copy_request.last_progress_at) {
             self.answer_times.entry(reach).or_default().note(now - copy_request.asked);
         }
     }
 
-    /// Who was asked has nothing, or cannot be asked any more.
+    /// The asked process has no copy, or can no longer be asked: turns to the next source.
     pub(crate) fn ask_next(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
-        let source = match self.jobs.get(&id).map(|j| &j.stage) {
-            Some(Stage::Home(copy_request)) => self.after(copy_request.source),
+        let source = match self.jobs.get(&id).map(|job| &job.stage) {
+            Some(Stage::Home(copy_request)) => self.next_source(copy_request.source),
             _ => Source::Origin,
         };
         self.ask_source(now, id, source, out);
     }
 
-    /// Who was asked kept silent: the answer is still welcome, and somebody else is asked.
-    pub(crate) fn skip_silent_home(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
-        let Some(j) = self.jobs.get_mut(&id) else { return };
-        let Stage::Home(copy_request) = j.stage else { return };
-        j.overdue.push(copy_request);
-        let homes = j.overdue.iter().filter(|i| i.source == copy_request.source).count() as u8;
+    /// The asked process did not answer in time: its answer is still accepted, and another source
+    /// is asked.
+    pub(crate) fn skip_unresponsive_home(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Stage::Home(copy_request) = job.stage else { return };
+        job.overdue.push(copy_request);
+        let homes_asked =
+            job.overdue.iter().filter(|request| request.source == copy_request.source).count() as u8;
         let widest = self.reaches().last().map(|r| Source::Home(*r));
-        let again = widest == Some(copy_request.source) && homes < WIDEST_HOMES;
-        self.mute.insert(copy_request.to, now + PASSED_OVER);
-        self.count(if again { "silent region homes" } else { "mute homes" });
-        if again {
+        let ask_another_home = widest == Some(copy_request.source) && homes_asked < MAX_WIDEST_HOMES;
+        self.unresponsive.insert(copy_request.to, now + UNRESPONSIVE_COOLDOWN);
+        self.count(if ask_another_home { "silent region homes" } else { "mute homes" });
+        if ask_another_home {
             self.ask_source(now, id, copy_request.source, out);
         } else {
             self.ask_next(now, id, out);
         }
     }
 
-    /// A purge came: what was answered before is not used, and the same one is asked again.
+    /// After a purge: earlier answers are not used, and the same source is asked again.
     pub(crate) fn restart_copy_request(&mut self, now: Mono, id: u64, out: &mut Vec<Out>) {
-        let Some(j) = self.jobs.get_mut(&id) else { return };
-        j.overdue.clear();
-        let Stage::Home(copy_request) = j.stage else { return };
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        job.overdue.clear();
+        let Stage::Home(copy_request) = job.stage else { return };
         self.ask_source(now, id, copy_request.source, out);
     }
 }
