--- a/crates/control-state/src/call.rs
+++ b/crates/control-state/src/call.rs
@@ -3,7 +3,8 @@
 use crate::digest::ItemsDigest;
 use crate::items::OriginHeartbeat;
 use crate::part::NodeReply;
-use crate::state::{ControlState, Verdict};
+use crate::state::ControlState;
+use crate::verdict::Verdict;
 use primitives::Span;
 use serde::{Deserialize, Serialize};
 
--- a/crates/control-state/src/deregistration.rs
+++ b/crates/control-state/src/deregistration.rs
@@ -1,57 +1,60 @@
-//! Origins by the names of their lives, and what becomes of them when they leave.
+//! Origins: lookup by the name that an incarnation gives itself, draining and deregistration.
 use crate::items::*;
-use crate::state::{ControlState, Verdict, Void};
+use crate::state::ControlState;
+use crate::verdict::{Verdict, Void};
 use primitives::{Addr, Birth};
 
 impl Origin {
-    /// As a beat describes it, serving.
-    pub fn of(beat: OriginHeartbeat) -> Origin {
+    /// The origin that a heartbeat describes, as serving.
+    pub fn of(heartbeat: OriginHeartbeat) -> Origin {
         Origin {
-            svc: beat.svc,
-            birth: beat.birth,
-            zone: beat.zone,
-            cap: beat.cap,
-            tag: beat.tag,
+            svc: heartbeat.svc,
+            birth: heartbeat.birth,
+            zone: heartbeat.zone,
+            cap: heartbeat.cap,
+            tag: heartbeat.tag,
             standing: Standing::Serving,
         }
     }
 }
 
 impl ControlState {
-    /// Where the life of that name is, and which one it is.
+    /// Address and incarnation of the origin that gives itself this name.
     pub fn origin_by_tag(&self, name: &str) -> Option<(Addr, Birth)> {
         self.items.iter().find_map(|(key, item)| match (key, &item.body) {
-            (Key::Origin(addr), Some(Body::Origin(o))) if o.tag == name => Some((*addr, o.birth)),
+            (Key::Origin(addr), Some(Body::Origin(origin))) if origin.tag == name => {
+                Some((*addr, origin.birth))
+            }
             _ => None,
         })
     }
 
     pub(crate) fn drain(&mut self, addr: Addr, birth: Birth) -> Verdict {
-        match self.origin(&addr).filter(|o| o.birth == birth).cloned() {
+        match self.origin(&addr).filter(|origin| origin.birth == birth).cloned() {
             None => Verdict::Void(Void::OtherLife),
-            Some(o) if o.standing == Standing::Leaving => Verdict::Void(Void::NothingNew),
-            Some(o) => {
-                let leaving = Origin { standing: Standing::Leaving, ..o };
-                self.put(Key::Origin(addr), Some(Body::Origin(leaving)))
+            Some(origin) if origin.standing == Standing::Leaving => Verdict::Void(Void::NothingNew),
+            Some(origin) => {
+                let drained = Origin { standing: Standing::Leaving, ..origin };
+                self.put(Key::Origin(addr), Some(Body::Origin(drained)))
             }
         }
     }
 
-    /// A word that is repeated changes nothing: a change goes to every edge, and holds up what
-    /// waits to be in force.
-    pub(crate) fn sign_off(&mut self, addr: Addr, birth: Birth) -> Verdict {
+    /// A repeated deregistration changes nothing: each change is sent to every edge, and delays the
+    /// changes that wait to be in force.
+    pub(crate) fn deregister(&mut self, addr: Addr, birth: Birth) -> Verdict {
         self.gone.insert(addr, birth);
         match self.origin(&addr) {
             None => Verdict::Void(Void::NothingNew),
-            Some(o) if o.birth != birth => Verdict::Void(Void::OtherLife),
+            Some(origin) if origin.birth != birth => Verdict::Void(Void::OtherLife),
             Some(_) => self.put(Key::Origin(addr), None),
         }
     }
 
-    /// Signs off whoever has that name at this place of the order.
-    pub(crate) fn sign_off_name(&mut self, name: &str) -> Verdict {
+    /// Deregisters the origin that has this name at this point in the order of changes.
+    pub(crate) fn deregister_by_name(&mut self, name: &str) -> Verdict {
         match self.origin_by_tag(name) {
-            Some((addr, birth)) => self.sign_off(addr, birth),
+            Some((addr, birth)) => self.deregister(addr, birth),
             None => Verdict::Void(Void::Absent),
         }
     }
--- a/crates/control-state/src/json.rs
+++ b/crates/control-state/src/json.rs
@@ -3,6 +3,7 @@
 use crate::items::*;
 use crate::roll::Seat;
 use crate::state::*;
+use crate::verdict::Verdict;
 use primitives::Span;
 use std::collections::HashMap;
 use tinyjson::JsonValue;
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -1,5 +1,5 @@
-//! The control state that controllers decide and edges obey, and every message
-//! between lanewing's processes.
+//! The replicated control state: controllers agree on its changes and edges follow it. Also all
+//! messages between lanewing's processes, and the interface of the state machines behind them.
 mod bounded_cache;
 mod cache_messages;
 mod call;
@@ -32,6 +32,7 @@
 mod state;
 mod stored_node;
 mod update_streams;
+mod verdict;
 mod whole;
 
 pub use bounded_cache::*;
@@ -60,4 +61,5 @@
 pub use snapshot::*;
 pub use standby_origins::*;
 pub use state::*;
+pub use verdict::*;
 pub use whole::*;
--- a/crates/control-state/src/roll.rs
+++ b/crates/control-state/src/roll.rs
@@ -1,28 +1,29 @@
-//! The roll: which ledgers a key is claimed from, and how that set changes.
+//! Ledger sets: which ledgers a key is claimed from, and how that set changes.
 use crate::items::*;
-use crate::state::{ControlState, Verdict, Void};
+use crate::state::ControlState;
+use crate::verdict::{Verdict, Void};
 use primitives::{Addr, Birth, NodeId, Span, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A granted round must leave within this of its claim, or it never does: so it never
-/// runs late into the next grant of its key.
+/// How long after its claim a granted attempt may still be sent to an origin; later it never is.
+/// So an attempt that was delayed cannot overlap with the next grant of its key.
 pub const LEAVE: Span = Span::secs(5);
 
-/// The ledgers a key is named to, for so many lost disks to be borne at once.
+/// Number of ledgers that are responsible for a key, if `losses` disks may be lost at once.
 pub fn replicas(losses: usize) -> usize {
     2 * losses + 1
 }
 
-/// The grants a round needs. Invariant: any two quorums of a key's ledgers meet, also
-/// where there are fewer ledgers than replicas.
+/// Number of grants that an attempt needs. Invariant: any two quorums of a key's ledgers have a
+/// ledger in common, also where there are fewer ledgers than replicas.
 pub fn quorum(losses: usize) -> usize {
     losses + 1
 }
 
-/// One ledger's place in the ledger: where it sits, and the life of the disk that
-/// it came with. Invariant: a disk of another life at the same place has lost
-/// grants, and must recall them or wait for their window before it grants.
+/// A member slot of a ledger set: the ledger's address, and the incarnation of the disk it joined
+/// with. Invariant: another incarnation of the disk at the same slot has lost grants, and must
+/// recall them or wait until their window is over before it grants.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Seat {
     pub id: NodeId,
@@ -31,62 +32,67 @@
     pub birth: Birth,
 }
 
-/// Invariant: one set, or two while the set changes; a round needs a quorum of a key's
-/// ledgers in every set. The older one goes only once every ledger of the newer one holds
-/// what it granted and no more is granted by it alone, or a window after the newer was in
-/// force at every edge: any two rounds of a key that could run within the window of
-/// one another meet in some ledger's memory.
+/// The current ledger sets, the older one first.
+///
+/// Invariant: there is one set, or two while the set changes, and an attempt needs a quorum of a
+/// key's ledgers in every set. The older set is removed only when each ledger of the newer one
+/// holds all that the older granted and the older grants nothing alone any more, or one window
+/// after the newer set was in force at every edge. So of any two attempts for a key that could run
+/// within one window, at least one ledger knows both.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roll {
     pub sets: Vec<Vec<Seat>>,
 }
 
 impl Roll {
+    /// The ledger sets among these items; none if there are none yet.
     pub fn of(items: &BTreeMap<Key, Item>) -> Roll {
-        match items.get(&Key::Roll).and_then(|it| it.body.as_ref()) {
-            Some(Body::Roll(r)) => r.clone(),
+        match items.get(&Key::Roll).and_then(|item| item.body.as_ref()) {
+            Some(Body::Roll(roll)) => roll.clone(),
             _ => Roll::default(),
         }
     }
 
-    /// The version of the roll among these items.
+    /// The version of the ledger sets among these items; 0 if there are none yet.
     pub fn version(items: &BTreeMap<Key, Item>) -> Version {
-        items.get(&Key::Roll).map_or(Version(0), |it| it.ver)
+        items.get(&Key::Roll).map_or(Version(0), |item| item.ver)
     }
 
-    /// The set whose grants decide: the older one while the set changes.
+    /// The set whose grants decide: while the set changes, the older one.
     pub fn authoritative_set(&self) -> &[Seat] {
-        self.sets.first().map_or(&[], |s| s)
+        self.sets.first().map_or(&[], |set| set)
     }
 
-    /// A key's ledgers, for each set.
+    /// The addresses of a key's ledgers, for each set.
     pub fn named(&self, key: &str, losses: usize) -> Vec<Vec<Addr>> {
-        self.sets.iter().map(|s| ledgers_for_key(key, s, losses)).collect()
+        self.sets.iter().map(|set| ledgers_for_key(key, set, losses)).collect()
     }
 
+    /// The slots of all sets; while the set changes a ledger may occur twice.
     pub fn seats(&self) -> impl Iterator<Item = &Seat> {
         self.sets.iter().flatten()
     }
 
-    /// The set as it should be with these ledgers: a place once taken keeps the life
-    /// that it was taken with.
+    /// The set that these ledgers should form, sorted. A ledger that has a slot already keeps it,
+    /// with the incarnation of its disk that the slot was created with.
     pub fn wanted(&self, ledgers: impl Iterator<Item = Seat>) -> Vec<Seat> {
-        let same = |a: &Seat, b: &Seat| (a.id, a.addr, &a.zone) == (b.id, b.addr, &b.zone);
-        let taken = |c: Seat| self.seats().find(|w| same(w, &c)).cloned().unwrap_or(c);
-        let mut wanted: Vec<Seat> = ledgers.map(taken).collect();
+        let same =
+            |one: &Seat, other: &Seat| (one.id, one.addr, &one.zone) == (other.id, other.addr, &other.zone);
+        let existing_slot =
+            |ledger: Seat| self.seats().find(|slot| same(slot, &ledger)).cloned().unwrap_or(ledger);
+        let mut wanted: Vec<Seat> = ledgers.map(existing_slot).collect();
         wanted.sort();
         wanted
     }
 }
 
 impl ControlState {
-    /// Names a newer set beside the one there is. While the set changes it takes the
-    /// place of the newer one, the same or another: every round since still has its quorum
-    /// in the older set.
+    /// Adds a newer set beside the current one. If there is a newer set already it is replaced, by
+    /// the same or another one: every attempt since then still has its quorum in the older set.
     pub(crate) fn set_next_ledgers(&mut self, expect: Version, next: &[Seat]) -> Verdict {
-        let was = self.item(&Key::Roll);
-        if was.ver != expect {
-            return Verdict::Stale(Key::Roll, was);
+        let current = self.item(&Key::Roll);
+        if current.ver != expect {
+            return Verdict::Stale(Key::Roll, current);
         }
         let mut sets = Roll::of(&self.items).sets;
         if sets.len() == 1 && sets[0] == next {
@@ -97,10 +103,11 @@
         self.put(Key::Roll, Some(Body::Roll(Roll { sets })))
     }
 
-    pub(crate) fn settle(&mut self, expect: Version, early: bool) -> Verdict {
-        let was = self.item(&Key::Roll);
-        if was.ver != expect {
-            return Verdict::Stale(Key::Roll, was);
+    /// Removes the older of two sets; if `early`, only if no row ever existed.
+    pub(crate) fn retire_older_ledgers(&mut self, expect: Version, early: bool) -> Verdict {
+        let current = self.item(&Key::Roll);
+        if current.ver != expect {
+            return Verdict::Stale(Key::Roll, current);
         }
         let mut sets = Roll::of(&self.items).sets;
         if sets.len() < 2 || (early && self.rows()) {
@@ -111,18 +118,18 @@
     }
 }
 
-/// Ranked by hash, zones first spread out.
+/// The ledgers of a key: by rank of their hashes, at first at most one of each zone, then the rest.
 fn ledgers_for_key(key: &str, all: &[Seat], losses: usize) -> Vec<Addr> {
-    let most = replicas(losses);
-    let ranked = primitives::rank(&key, all, |c| c.id.0);
+    let wanted = replicas(losses);
+    let ranked = primitives::rank(&key, all, |ledger| ledger.id.0);
     let mut picked: Vec<&Seat> = vec![];
-    for c in &ranked {
-        if picked.len() < most && picked.iter().all(|p| p.zone != c.zone) {
-            picked.push(c);
+    for ledger in &ranked {
+        if picked.len() < wanted && picked.iter().all(|other| other.zone != ledger.zone) {
+            picked.push(ledger);
         }
     }
-    let rest = ranked.iter().filter(|c| !picked.iter().any(|p| p.id == c.id));
-    let fill: Vec<_> = rest.take(most - picked.len()).collect();
-    picked.extend(fill);
-    picked.into_iter().map(|c| c.addr).collect()
+    let remaining = ranked.iter().filter(|ledger| !picked.iter().any(|other| other.id == ledger.id));
+    let same_zone: Vec<_> = remaining.take(wanted - picked.len()).collect();
+    picked.extend(same_zone);
+    picked.into_iter().map(|ledger| ledger.addr).collect()
 }
--- a/crates/control-state/src/state.rs
+++ b/crates/control-state/src/state.rs
@@ -1,203 +1,180 @@
-//! Applying decided commands.
+//! The replicated state, and how decided changes are applied to it.
 use crate::command::*;
-use crate::configuration::{EditError, EntryNumber, PurgeBy};
+use crate::configuration::PurgeBy;
 use crate::confirmed::Confirmed;
 use crate::items::*;
 use crate::purges::is_expired_purge;
+use crate::verdict::{Verdict, Void};
 use primitives::Version;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Eras count the cuts; each is an agreement of its own.
+/// Number of an era: one instance of the agreement with fixed members. Each reconfiguration
+/// (`Cmd::Cut`) starts the next era.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Era(pub u64);
 
-/// Why a change had no effect although nobody was ahead of it.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Void {
-    /// It names a life of an origin that is no longer there.
-    OtherLife,
-    Absent,
-    /// The same id was used for a different change.
-    IdTaken,
-    NothingNew,
-}
-
-/// What became of a change; the first one is kept for every replay.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
-    Done(Vec<(Key, Version)>),
-    Stale(Key, Item),
-    Void(Void),
-    /// Invalid, and of no effect at all.
-    InvalidEdit(EditError),
-    /// A number of it belongs to another content; of no effect at all.
-    Conflict(EntryNumber),
-    /// Of no effect: whether this number was confirmed, and with what, is forgotten.
-    Forgotten(EntryNumber),
-}
-
-impl Verdict {
-    /// The change was refused for what it is: nothing earlier has to be in force for it.
-    pub fn is_refusal(&self) -> bool {
-        let by_id = matches!(self, Verdict::Void(Void::IdTaken));
-        by_id || matches!(self, Verdict::Stale(..) | Verdict::InvalidEdit(_) | Verdict::Conflict(_))
-    }
-}
-
-/// Keep at least this many receipts; older whole eras of them are dropped at a cut.
-const RECEIPTS: usize = 4096;
-/// Purges of one service remembered singly over a cut.
-const PURGES: usize = 2000;
+/// Receipts kept when an era ends: if there are more, all those of the oldest eras are dropped.
+const MAX_RECEIPTS: usize = 4096;
+/// Purges of one service kept one by one when an era ends; see `merge_purges`.
+const MAX_PURGES_PER_SERVICE: usize = 2000;
 
+/// The state that all controllers replicate: the same at each of them after the same changes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ControlState {
     pub era: Era,
     pub members: Vec<Member>,
-    /// Earlier rosters that some edge may still go by, with the era that followed.
+    /// Earlier memberships that some edge may still use, each with the era that followed it.
     pub past: Vec<(Era, Vec<Member>)>,
-    /// Invariant: above every controller id ever given out.
+    /// Invariant: greater than every member id that was ever assigned.
     pub next_member_id: u16,
-    /// Stamps of the era are above this.
+    /// All timestamps of commands of this era are greater.
     pub clock: u64,
-    /// Invariant: nothing is ever taken out; deletions leave tombstones. Only
-    /// purges of long past eras go: their versions start with the era, so a new
-    /// purge of the same scope is still the larger, and an edge that was away so
-    /// long has dropped its copies.
+    /// Invariant: no item is removed; a deletion leaves a tombstone. The exception are purges of
+    /// eras long past: the high bits of their versions are the era, so that a new purge of the
+    /// same scope still has a higher version, and an edge that was disconnected for that long
+    /// has dropped its cached copies.
     pub items: BTreeMap<Key, Item>,
+    /// By change id: the era, a hash of the operation, and the stored result.
     pub receipts: BTreeMap<ChangeId, (Era, u64, Verdict)>,
-    /// By address: the last life that signed off there.
+    /// By address: the last incarnation that deregistered there.
     pub gone: BTreeMap<primitives::Addr, primitives::Birth>,
-    /// The contents of the numbers that edits were confirmed under.
+    /// The content of each version number that an edit was confirmed under.
     pub confirmed: Confirmed,
 }
 
 impl ControlState {
-    /// The member at this address with this disk, if it has a seat.
+    /// The member at this address with this incarnation of its disk, if there is one.
     pub fn member_at(&self, addr: primitives::Addr, birth: primitives::Birth) -> Option<&Member> {
         self.members.iter().find(|m| m.addr == addr && m.birth == birth)
     }
 
-    pub fn item(&self, k: &Key) -> Item {
-        self.items.get(k).cloned().unwrap_or_default()
+    /// The item under a key; if there never was one, version 0 without a body.
+    pub fn item(&self, key: &Key) -> Item {
+        self.items.get(key).cloned().unwrap_or_default()
     }
 
-    pub(crate) fn put(&mut self, k: Key, body: Option<Body>) -> Verdict {
-        let it = self.items.entry(k.clone()).or_default();
-        let floor = if k.is_purge() { self.era.0 << 32 } else { 0 };
-        it.ver = Version(it.ver.0.max(floor) + 1);
-        it.body = body;
-        Verdict::Done(vec![(k, it.ver)])
+    /// Sets or deletes an item under its next version.
+    pub(crate) fn put(&mut self, key: Key, body: Option<Body>) -> Verdict {
+        let item = self.items.entry(key.clone()).or_default();
+        let floor = if key.is_purge() { self.era.0 << 32 } else { 0 };
+        item.ver = Version(item.ver.0.max(floor) + 1);
+        item.body = body;
+        Verdict::Done(vec![(key, item.ver)])
     }
 
-    /// Applies one change; returns its verdict and whether this was the first time.
-    pub fn apply(&mut self, c: &Change) -> (Verdict, bool) {
-        let print = primitives::hash(&format!("{:?}", c.op));
-        let before = c.id.as_ref().and_then(|id| self.receipts.get(id));
-        if let Some((_, p, v)) = before {
-            let v = if *p == print { v.clone() } else { Verdict::Void(Void::IdTaken) };
-            return (v, false);
+    /// Applies a change; returns its result, and false if it was applied before under the same id.
+    pub fn apply(&mut self, change: &Change) -> (Verdict, bool) {
+        let op_hash = primitives::hash(&format!("{:?}", change.op));
+        let receipt = change.id.as_ref().and_then(|id| self.receipts.get(id));
+        if let Some((_, hash, verdict)) = receipt {
+            let verdict = if *hash == op_hash { verdict.clone() } else { Verdict::Void(Void::IdTaken) };
+            return (verdict, false);
         }
-        let v = self.effect(&c.op);
-        if let Some(id) = &c.id {
-            self.receipts.insert(id.clone(), (self.era, print, v.clone()));
+        let verdict = self.apply_op(&change.op);
+        if let Some(id) = &change.id {
+            self.receipts.insert(id.clone(), (self.era, op_hash, verdict.clone()));
         }
-        (v, true)
+        (verdict, true)
     }
 
-    fn effect(&mut self, op: &Op) -> Verdict {
+    fn apply_op(&mut self, op: &Op) -> Verdict {
         match op {
             Op::Row { lane, svc, expect, row } => {
-                let k = Key::Row(lane.clone(), svc.clone());
-                let was = self.item(&k);
-                if was.ver != *expect {
-                    return Verdict::Stale(k, was);
+                let key = Key::Row(lane.clone(), svc.clone());
+                let current = self.item(&key);
+                if current.ver != *expect {
+                    return Verdict::Stale(key, current);
                 }
-                if was.body.is_none() && row.is_none() {
+                if current.body.is_none() && row.is_none() {
                     return Verdict::Void(Void::Absent);
                 }
-                self.put(k, row.clone().map(Body::Row))
+                self.put(key, row.clone().map(Body::Row))
             }
-            Op::Register(a, o) => {
-                let over = (self.gone.get(a) == Some(&o.birth)).then_some(Void::OtherLife);
-                let same = self.origin(a).filter(|was| was.birth == o.birth).map(|_| Void::NothingNew);
-                over.or(same)
+            Op::Register(addr, origin) => {
+                let deregistered = (self.gone.get(addr) == Some(&origin.birth)).then_some(Void::OtherLife);
+                let unchanged = self
+                    .origin(addr)
+                    .filter(|current| current.birth == origin.birth)
+                    .map(|_| Void::NothingNew);
+                deregistered
+                    .or(unchanged)
                     .map(Verdict::Void)
-                    .unwrap_or_else(|| self.put(Key::Origin(*a), Some(Body::Origin(o.clone()))))
+                    .unwrap_or_else(|| self.put(Key::Origin(*addr), Some(Body::Origin(origin.clone()))))
             }
-            Op::Drain(a, b) => self.drain(*a, *b),
-            Op::Remove(a, b) => {
-                let is = self.origin(a).is_some_and(|o| o.birth == *b);
-                if is {
-                    self.put(Key::Origin(*a), None)
+            Op::Drain(addr, birth) => self.drain(*addr, *birth),
+            Op::Remove(addr, birth) => {
+                let registered = self.origin(addr).is_some_and(|origin| origin.birth == *birth);
+                if registered {
+                    self.put(Key::Origin(*addr), None)
                 } else {
                     Verdict::Void(Void::OtherLife)
                 }
             }
-            Op::SignOff(a, b) => self.sign_off(*a, *b),
-            Op::SignOffName(name) => self.sign_off_name(name),
-            Op::Join(id, n) => self.join(*id, n),
+            Op::SignOff(addr, birth) => self.deregister(*addr, *birth),
+            Op::SignOffName(name) => self.deregister_by_name(name),
+            Op::Join(id, node) => self.join(*id, node),
             Op::DrainNode(id) => self
                 .node(id)
                 .cloned()
-                .map(|n| Node { standing: Standing::Leaving, ..n })
-                .map(|n| self.put(Key::Node(*id), Some(Body::Node(n))))
+                .map(|node| Node { standing: Standing::Leaving, ..node })
+                .map(|node| self.put(Key::Node(*id), Some(Body::Node(node))))
                 .unwrap_or(Verdict::Void(Void::Absent)),
             Op::RemoveNode(id) => {
-                let is = self.node(id).is_some();
-                if is {
+                let exists = self.node(id).is_some();
+                if exists {
                     self.put(Key::Node(*id), None)
                 } else {
                     Verdict::Void(Void::Absent)
                 }
             }
             Op::Seats { expect, next } => self.set_next_ledgers(*expect, next),
-            Op::Settle { expect, early } => self.settle(*expect, *early),
-            Op::Edit(es) => self.edit(es),
+            Op::Settle { expect, early } => self.retire_older_ledgers(*expect, *early),
+            Op::Edit(edits) => self.apply_edits(edits),
             Op::PurgeBy(scopes) => {
-                let mut put = |s: &PurgeBy| {
-                    let k = Key::PurgeBy(s.clone());
-                    self.put(k.clone(), Some(Body::Purge));
-                    (k.clone(), self.items[&k].ver)
+                let mut put = |scope: &PurgeBy| {
+                    let key = Key::PurgeBy(scope.clone());
+                    self.put(key.clone(), Some(Body::Purge));
+                    (key.clone(), self.items[&key].ver)
                 };
                 Verdict::Done(scopes.iter().map(&mut put).collect())
             }
             Op::Purge(scopes) => Verdict::Done(
                 scopes
                     .iter()
-                    .map(|(s, p)| {
-                        let k = Key::Purge(s.clone(), p.clone());
-                        self.put(k.clone(), Some(Body::Purge));
-                        let v = self.items[&k].ver;
-                        (k, v)
+                    .map(|(scope, prefix)| {
+                        let key = Key::Purge(scope.clone(), prefix.clone());
+                        self.put(key.clone(), Some(Body::Purge));
+                        let version = self.items[&key].ver;
+                        (key, version)
                     })
                     .collect(),
             ),
         }
     }
 
-    fn join(&mut self, id: primitives::NodeId, n: &Node) -> Verdict {
-        if self.node(&id) == Some(n) {
+    fn join(&mut self, id: primitives::NodeId, node: &Node) -> Verdict {
+        if self.node(&id) == Some(node) {
             return Verdict::Void(Void::NothingNew);
         }
-        self.put(Key::Node(id), Some(Body::Node(n.clone())))
+        self.put(Key::Node(id), Some(Body::Node(node.clone())))
     }
 
-    /// Whether a row ever existed, so that keys can have been granted.
+    /// Whether a row or entry ever existed, so that ledgers may have granted keys.
     pub fn rows(&self) -> bool {
-        self.items.keys().any(|k| matches!(k, Key::Row(..) | Key::Entry(..)))
+        self.items.keys().any(|key| matches!(key, Key::Row(..) | Key::Entry(..)))
     }
 
-    pub fn origin(&self, a: &primitives::Addr) -> Option<&Origin> {
-        match self.items.get(&Key::Origin(*a))?.body.as_ref()? {
-            Body::Origin(o) => Some(o),
+    pub fn origin(&self, addr: &primitives::Addr) -> Option<&Origin> {
+        match self.items.get(&Key::Origin(*addr))?.body.as_ref()? {
+            Body::Origin(origin) => Some(origin),
             _ => None,
         }
     }
 
     pub fn node(&self, id: &primitives::NodeId) -> Option<&Node> {
         match self.items.get(&Key::Node(*id))?.body.as_ref()? {
-            Body::Node(n) => Some(n),
+            Body::Node(node) => Some(node),
             _ => None,
         }
     }
@@ -206,41 +183,43 @@
         self.members.iter().find(|m| m.member_id == member_id)
     }
 
-    /// A service with very many purges gets one of everything in their place:
-    /// more is purged than was asked, and what must be remembered stays small.
+    /// Replaces the purges of a service that has very many by one purge of the whole service. This
+    /// purges more than was requested, but bounds the size of the state.
     fn merge_purges(&mut self) {
-        let mut count: BTreeMap<Svc, usize> = BTreeMap::new();
-        for k in self.items.keys() {
-            if let Key::Purge(s, _) = k {
-                *count.entry(s.clone()).or_default() += 1;
+        let mut counts: BTreeMap<Svc, usize> = BTreeMap::new();
+        for key in self.items.keys() {
+            if let Key::Purge(svc, _) = key {
+                *counts.entry(svc.clone()).or_default() += 1;
             }
         }
-        for (svc, _) in count.into_iter().filter(|(_, n)| *n > PURGES) {
-            self.items.retain(|k, _| !matches!(k, Key::Purge(s, p) if *s == svc && !p.is_empty()));
+        for (svc, _) in counts.into_iter().filter(|(_, count)| *count > MAX_PURGES_PER_SERVICE) {
+            self.items
+                .retain(|key, _| !matches!(key, Key::Purge(of, prefix) if *of == svc && !prefix.is_empty()));
             self.put(Key::Purge(svc, String::new()), Some(Body::Purge));
         }
     }
 
-    /// Ends the era. Pure, and the same on every controller: the cut clashes with
-    /// all, so the state at it is the same everywhere.
-    pub fn cut(&self, members: &[Member], landed: Era, clock: u64) -> ControlState {
-        let mut p = self.clone();
-        p.era = Era(self.era.0 + 1);
-        p.past.retain(|(e, _)| *e > landed);
-        let member_ids = |ms: &[Member]| ms.iter().map(|m| m.member_id).collect::<Vec<_>>();
+    /// The state that the next era starts from. Earlier memberships up to the era `retired` are no
+    /// longer in use by any edge. The result is the same on every controller: `Cmd::Cut` conflicts
+    /// with all other commands, so they all end the era in the same state.
+    pub fn cut(&self, members: &[Member], retired: Era, clock: u64) -> ControlState {
+        let mut next = self.clone();
+        next.era = Era(self.era.0 + 1);
+        next.past.retain(|(era, _)| *era > retired);
+        let member_ids = |members: &[Member]| members.iter().map(|m| m.member_id).collect::<Vec<_>>();
         if !self.members.is_empty() && member_ids(members) != member_ids(&self.members) {
-            p.past.push((p.era, self.members.clone()));
+            next.past.push((next.era, self.members.clone()));
         }
-        p.members = members.to_vec();
-        p.clock = clock;
-        p.next_member_id =
+        next.members = members.to_vec();
+        next.clock = clock;
+        next.next_member_id =
             members.iter().map(|m| m.member_id.0 + 1).max().unwrap_or(0).max(self.next_member_id);
-        p.items.retain(|k, it| !is_expired_purge(p.era, k, it));
-        p.merge_purges();
-        while p.receipts.len() > RECEIPTS {
-            let oldest = p.receipts.values().map(|(e, ..)| *e).min().unwrap_or_default();
-            p.receipts.retain(|_, (e, ..)| *e > oldest);
+        next.items.retain(|key, item| !is_expired_purge(next.era, key, item));
+        next.merge_purges();
+        while next.receipts.len() > MAX_RECEIPTS {
+            let oldest = next.receipts.values().map(|(era, ..)| *era).min().unwrap_or_default();
+            next.receipts.retain(|_, (era, ..)| *era > oldest);
         }
-        p
+        next
     }
 }
