--- a/crates/control-state/src/command.rs
+++ b/crates/control-state/src/command.rs
@@ -1,4 +1,4 @@
-//! What controllers agree on, and which of it clashes.
+//! The commands that controllers agree on, and which of them conflict.
 use crate::configuration::{Edit, PurgeBy};
 use crate::items::*;
 use crate::roll::Seat;
@@ -8,9 +8,11 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
+/// An operation on the control state. Its `Debug` text is hashed into stored receipts, so the names
+/// of its variants and fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Op {
-    /// Sets (or with no row deletes) one cell, if it still has the version expected.
+    /// Sets one cell, or without a row deletes it, if it still has the expected version.
     Row {
         lane: Lane,
         svc: Svc,
@@ -20,10 +22,10 @@
     Register(Addr, Origin),
     Drain(Addr, Birth),
     Remove(Addr, Birth),
-    /// Its own last word: this life is never registered again, whatever of it is
-    /// still on its way.
+    /// Deregistration by the origin itself: this incarnation is never registered again, whichever
+    /// of its heartbeats are still in transit.
     SignOff(Addr, Birth),
-    /// The same for a life of which the proposer knows nothing but its name.
+    /// The same for an incarnation of which the proposer knows only the name that it gives itself.
     SignOffName(String),
     Join(NodeId, Node),
     DrainNode(NodeId),
@@ -32,111 +34,121 @@
     PurgeBy(Vec<PurgeBy>),
     /// Edits of the configuration, valid or refused as a whole.
     Edit(Vec<Edit>),
-    /// Names the ledger's ledgers anew, beside the set there is; the same again
-    /// only makes the version new, to count its time in force from.
+    /// Adds a newer ledger set beside the current one. Repeating the same set only gives it a new
+    /// version, from which its time in force is counted.
     Seats {
         expect: Version,
         next: Vec<Seat>,
     },
-    /// The older set has lost its force. Early: at once, if no row ever existed.
+    /// Removes the older ledger set, which is not needed any more. `early`: without waiting, if no
+    /// row ever existed.
     Settle {
         expect: Version,
         early: bool,
     },
 }
 
+/// A change of the control state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// None for what controllers derive from beats and joins.
+    /// None for changes that controllers derive from heartbeats and joining nodes.
     pub id: Option<ChangeId>,
     pub op: Op,
 }
 
+/// A command of the agreement between controllers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Cmd {
     Noop,
-    /// Most often one; purges that came together travel as one command.
+    /// Usually one change; batchable changes that arrive together form one command.
     Changes(Arc<Vec<Change>>),
-    /// Reads: clashes with every change, so that its place among them is known.
+    /// A read barrier: it conflicts with every change, so that its position among them is known.
     Look,
-    /// Ends the era: the next one starts from the state at this point, among
-    /// these members. Clashes with everything but the noop. Rosters that ended up
-    /// to the era named are known to be in nobody's use.
+    /// Reconfiguration: ends the era; the next one starts from the state at this point, with these
+    /// members. Conflicts with all commands but the no-op. Memberships that ended at or before the
+    /// given era are no longer in use.
     Cut(Vec<Member>, Era),
 }
 
 impl Op {
-    /// What the operation touches: the conflict relation's grain.
+    /// The keys that the operation changes; two operations with a common key conflict.
     pub fn keys(&self) -> Vec<Key> {
         match self {
             Op::Row { lane, svc, .. } => vec![Key::Row(lane.clone(), svc.clone())],
-            Op::Register(a, _) | Op::Drain(a, _) | Op::Remove(a, _) | Op::SignOff(a, _) => {
-                vec![Key::Origin(*a)]
+            Op::Register(addr, _) | Op::Drain(addr, _) | Op::Remove(addr, _) | Op::SignOff(addr, _) => {
+                vec![Key::Origin(*addr)]
             }
             Op::SignOffName(_) => vec![],
-            Op::Join(n, _) | Op::DrainNode(n) | Op::RemoveNode(n) => vec![Key::Node(*n)],
+            Op::Join(id, _) | Op::DrainNode(id) | Op::RemoveNode(id) => vec![Key::Node(*id)],
             Op::Seats { .. } | Op::Settle { .. } => vec![Key::Roll],
-            Op::PurgeBy(s) => s.iter().cloned().map(Key::PurgeBy).collect(),
-            Op::Edit(es) => es.iter().map(Edit::key).collect(),
-            Op::Purge(s) => s.iter().map(|(v, p)| Key::Purge(v.clone(), p.clone())).collect(),
+            Op::PurgeBy(scopes) => scopes.iter().cloned().map(Key::PurgeBy).collect(),
+            Op::Edit(edits) => edits.iter().map(Edit::key).collect(),
+            Op::Purge(scopes) => {
+                scopes.iter().map(|(svc, prefix)| Key::Purge(svc.clone(), prefix.clone())).collect()
+            }
         }
     }
 
-    /// Whether both touch one thing. Floods of purges are compared often, so those are
-    /// looked at as they stand.
-    fn meets(&self, b: &Op) -> bool {
-        match (self, b) {
-            (Op::Purge(x), Op::Purge(y)) => x.iter().any(|s| y.contains(s)),
+    /// Whether both change the same item. Purges arrive in large numbers and are compared often, so
+    /// their scopes are compared directly, without building keys.
+    fn overlaps(&self, other: &Op) -> bool {
+        match (self, other) {
+            (Op::Purge(mine), Op::Purge(theirs)) => mine.iter().any(|scope| theirs.contains(scope)),
             (Op::Purge(_), _) | (_, Op::Purge(_)) => false,
-            (Op::PurgeBy(x), Op::PurgeBy(y)) => x.iter().any(|s| y.contains(s)),
+            (Op::PurgeBy(mine), Op::PurgeBy(theirs)) => mine.iter().any(|scope| theirs.contains(scope)),
             (Op::PurgeBy(_), _) | (_, Op::PurgeBy(_)) => false,
-            // Whose name it is depends on all origins before.
-            (Op::SignOffName(_), b) => b.is_origin(),
-            (a, Op::SignOffName(_)) => a.is_origin(),
-            // Whether lanes name known services depends on all edits before.
+            // Which origin has the name depends on all earlier changes of origins.
+            (Op::SignOffName(_), other) => other.changes_origin(),
+            (op, Op::SignOffName(_)) => op.changes_origin(),
+            // Whether routes name existing services depends on all earlier edits.
             (Op::Edit(_), Op::Edit(_)) => true,
             (Op::Edit(_), _) | (_, Op::Edit(_)) => false,
             _ => {
-                let ks = b.keys();
-                self.keys().iter().any(|k| ks.contains(k))
+                let keys = other.keys();
+                self.keys().iter().any(|key| keys.contains(key))
             }
         }
     }
 
-    /// Asks whether any row ever existed, so its place among all row changes matters.
+    /// Whether its result depends on whether any row ever existed, and so on its position among all
+    /// row changes.
     fn depends_on_rows(&self) -> bool {
         matches!(self, Op::Settle { early: true, .. })
     }
-    /// Those that come together travel as one command: purges, what the start or the end of
-    /// many processes brings, and edits, which all clash and would each be weighed against all
-    /// others under way.
+
+    /// Whether changes that arrive together form one command: purges, changes that come in numbers
+    /// when many processes start or stop, and edits, which all conflict with one another and would
+    /// each have to be ordered against all others in progress.
     pub fn is_batchable(&self) -> bool {
-        matches!(self, Op::Purge(_) | Op::PurgeBy(_) | Op::Join(..) | Op::Edit(_)) || self.is_origin()
+        matches!(self, Op::Purge(_) | Op::PurgeBy(_) | Op::Join(..) | Op::Edit(_)) || self.changes_origin()
     }
-    fn is_origin(&self) -> bool {
+
+    fn changes_origin(&self) -> bool {
         let by_name = matches!(self, Op::SignOffName(_));
         by_name || matches!(self, Op::Register(..) | Op::Drain(..) | Op::Remove(..) | Op::SignOff(..))
     }
-    /// What it takes on a link, roughly.
+
+    /// Approximate encoded size in bytes.
     pub fn size(&self) -> usize {
         const SMALL: usize = 200;
         match self {
             Op::PurgeBy(scopes) => SMALL + scopes.len() * 120,
-            Op::Purge(scopes) => SMALL + scopes.iter().map(|(_, p)| p.len() + 40).sum::<usize>(),
+            Op::Purge(scopes) => SMALL + scopes.iter().map(|(_, prefix)| prefix.len() + 40).sum::<usize>(),
             Op::Edit(edits) => SMALL + edits.iter().map(Edit::size).sum::<usize>(),
             _ => SMALL,
         }
     }
-    fn is_row(&self) -> bool {
+
+    fn changes_row(&self) -> bool {
         matches!(self, Op::Row { .. } | Op::Edit(_))
     }
 }
 
 impl Change {
-    fn conflicts(&self, b: &Change) -> bool {
-        let same_id = self.id.is_some() && self.id == b.id;
-        let asks = |x: &Op, y: &Op| x.depends_on_rows() && y.is_row();
-        same_id || asks(&self.op, &b.op) || asks(&b.op, &self.op) || self.op.meets(&b.op)
+    fn conflicts(&self, other: &Change) -> bool {
+        let same_id = self.id.is_some() && self.id == other.id;
+        let depends = |one: &Op, other: &Op| one.depends_on_rows() && other.changes_row();
+        same_id || depends(&self.op, &other.op) || depends(&other.op, &self.op) || self.op.overlaps(&other.op)
     }
 }
 
@@ -150,13 +162,15 @@
             (Cmd::Changes(a), Cmd::Changes(b)) => a.iter().any(|a| b.iter().any(|b| a.conflicts(b))),
         }
     }
+
     fn noop() -> Cmd {
         Cmd::Noop
     }
+
     fn bytes(&self) -> usize {
         const SMALL: usize = 64;
         match self {
-            Cmd::Changes(all) => SMALL + all.iter().map(|c| c.op.size()).sum::<usize>(),
+            Cmd::Changes(changes) => SMALL + changes.iter().map(|change| change.op.size()).sum::<usize>(),
             Cmd::Cut(members, _) => SMALL * (1 + members.len()),
             Cmd::Noop | Cmd::Look => SMALL,
         }
--- a/crates/control-state/src/configuration.rs
+++ b/crates/control-state/src/configuration.rs
@@ -1,5 +1,5 @@
-//! The operator's configuration: lanes by host and path, services, and limits on callers,
-//! as named entries whose versions the operator chooses.
+//! The operator's configuration: routes by host and path, services, and limits for callers, as named
+//! entries whose version numbers the operator chooses.
 use crate::confirmed::ContentDigest;
 use crate::items::*;
 use primitives::{Span, Version};
@@ -15,76 +15,81 @@
     Limits,
 }
 
-/// One lane, reached by host and the longest prefix of the path.
+/// A route, selected by the host and the longest matching path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LaneEntry {
     pub host: String,
     /// Begins and ends with a slash.
     pub prefix: String,
     pub kind: Kind,
-    /// The longest a request may be held.
+    /// The longest time that a request may take.
     pub timeout: Span,
-    /// Within this an answer is worth most.
+    /// Target latency.
     pub aim: Span,
-    /// Urgency; 0 goes first.
+    /// Priority; 0 is the highest.
     pub rank: u8,
-    /// Services and their weights, in thousandths.
+    /// Services and their relative weights, in thousandths.
     pub weights: Vec<(Svc, u64)>,
-    /// Origins that one request may be sent to, at most.
+    /// The most origins that a request may be sent to.
     pub attempts: u32,
-    /// How long a copy lives.
+    /// Time-to-live of a cached copy.
     pub ttl: Span,
-    /// As its operator wrote it.
+    /// The text that the operator wrote.
     pub said: String,
 }
 
+/// A service: how its origins are checked and limited.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceEntry {
-    /// Where an origin is asked whether it is well.
+    /// Path of the health check.
     pub health: String,
-    /// Connections that one origin takes from all callers together.
+    /// The most connections that an origin accepts from all callers together.
     pub connections: u32,
-    /// Origins that remember keys themselves.
+    /// Whether its origins recognize repeated idempotency keys themselves.
     pub dedups: bool,
-    /// Requests that all its origins together may get, in thousandths a second.
+    /// Rate limit for all its origins together, in thousandths of a request per second.
     pub rate: Option<u64>,
-    /// As its operator wrote it.
+    /// The text that the operator wrote.
     pub said: String,
 }
 
-/// What a caller may send and how long it may take.
+/// Limits on requests of callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
+    /// Bytes of the header fields.
     pub heads: usize,
+    /// Bytes of the body.
     pub body: usize,
+    /// Time until the header fields are complete.
     pub head_wait: Span,
+    /// Time that a connection may be idle.
     pub idle: Span,
-    /// As its operator wrote it.
+    /// The text that the operator wrote.
     pub said: String,
 }
 
-/// One entry's change. Invariant: of two versions of a name the higher holds,
-/// whether it sets the entry or (with no body) drops it.
+/// Sets an entry, or without a body deletes it. Invariant: of two edits of a name the one with the
+/// higher version applies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edit {
     pub section: Section,
     pub name: String,
     pub ver: Version,
     pub body: Option<Body>,
-    /// Of its content: of two edits with one name and number only one content counts.
+    /// Digest of the content: a name and version number stand for one content only.
     pub content: ContentDigest,
 }
 
-/// Copies to be purged, by what they are rather than by where they come from.
+/// Cached copies to purge, whichever service they come from.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum PurgeBy {
-    /// One host's one path, whatever its query.
+    /// A host and a path, with any query.
     Page(String, String),
-    /// What its origin marked with this tag.
+    /// Copies that their origins marked with this tag.
     Tag(String),
 }
 
-/// Why a set of edits is invalid as a whole.
+/// Why a set of edits is refused as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 pub enum EditError {
     #[snafu(display("{name}: the host is empty"))]
@@ -103,7 +108,7 @@
     WrongSection { name: String },
 }
 
-/// One number of one entry, as operators are told of it.
+/// A version number of an entry, for messages to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryNumber {
     pub section: Section,
@@ -117,13 +122,14 @@
     }
 }
 
+/// How far the target latency of a route may exceed its timeout (exclusive).
 const MAX_AIM_EXCESS: Span = Span::secs(60);
 
-/// The canonical text of what drops an entry.
-const DROPPED: &str = "dropped";
+/// The canonical text of an edit that deletes an entry; stored digests depend on it.
+const DELETED_TEXT: &str = "dropped";
 
-/// A body as it is whatever the order of its weights.
-fn canonical(body: &Body) -> String {
+/// The canonical text of a body: the same for any order of its weights. Stored digests depend on it.
+fn canonical_text(body: &Body) -> String {
     let mut body = body.clone();
     if let Body::Lane(lane) = &mut body {
         lane.weights.sort();
@@ -132,14 +138,14 @@
 }
 
 impl Edit {
-    /// Sets the entry, or drops it; what its body holds is its content.
+    /// Sets or deletes the entry; the digest is that of the body.
     pub fn new(section: Section, name: &str, ver: Version, body: Option<Body>) -> Edit {
-        let text = body.as_ref().map_or(DROPPED.to_string(), canonical);
+        let text = body.as_ref().map_or(DELETED_TEXT.to_string(), canonical_text);
         let content = ContentDigest::of(&text);
         Edit { section, name: name.into(), ver, body, content }
     }
 
-    /// Sets the entry to what was written in a form that has a canonical text.
+    /// Sets the entry; the digest is that of `text`, the canonical form of what the operator wrote.
     pub fn written(section: Section, name: &str, ver: Version, body: Body, text: &str) -> Edit {
         let content = ContentDigest::of(text);
         Edit { section, name: name.into(), ver, body: Some(body), content }
@@ -153,45 +159,51 @@
         Key::Entry(self.section, self.name.clone())
     }
 
-    /// Bytes, roughly.
+    /// Approximate encoded size in bytes.
     pub fn size(&self) -> usize {
         20 + self.name.len() + self.body.as_ref().map_or(100, Body::size)
     }
 
     pub(crate) fn lane(&self) -> Option<&LaneEntry> {
         match &self.body {
-            Some(Body::Lane(l)) => Some(l),
+            Some(Body::Lane(entry)) => Some(entry),
             _ => None,
         }
     }
 
-    /// What is wrong with it, whatever else there is.
+    /// Why the edit is invalid by itself, regardless of other entries.
     pub fn flaw(&self) -> Option<EditError> {
         let name = || self.name.clone();
-        let placed = matches!(
+        let fits_section = matches!(
             (self.section, &self.body),
             (_, None)
                 | (Section::Lanes, Some(Body::Lane(_)))
                 | (Section::Services, Some(Body::Service(_)))
                 | (Section::Limits, Some(Body::Limits(_)))
         );
-        let misplaced = (!placed).then(|| EditError::WrongSection { name: name() });
-        let l = self.lane();
-        let or = |bad: fn(&LaneEntry) -> bool, f: EditError| l.filter(|l| bad(l)).map(|_| f);
-        misplaced
-            .or_else(|| or(|l| l.host.is_empty(), EditError::NoHost { name: name() }))
-            .or_else(|| or(|l| !bounded(&l.prefix), EditError::Prefix { name: name() }))
-            .or_else(|| or(|l| l.attempts == 0, EditError::NoAttempts { name: name() }))
+        let wrong_section = (!fits_section).then(|| EditError::WrongSection { name: name() });
+        let entry = self.lane();
+        let check =
+            |bad: fn(&LaneEntry) -> bool, error: EditError| entry.filter(|entry| bad(entry)).map(|_| error);
+        wrong_section
+            .or_else(|| check(|entry| entry.host.is_empty(), EditError::NoHost { name: name() }))
+            .or_else(|| check(|entry| !has_outer_slashes(&entry.prefix), EditError::Prefix { name: name() }))
+            .or_else(|| check(|entry| entry.attempts == 0, EditError::NoAttempts { name: name() }))
             .or_else(|| {
-                or(
-                    |l| l.aim.0 >= l.timeout.0 + MAX_AIM_EXCESS.0,
+                check(
+                    |entry| entry.aim.0 >= entry.timeout.0 + MAX_AIM_EXCESS.0,
                     EditError::AimExceedsTimeout { name: name() },
                 )
             })
-            .or_else(|| or(|l| l.weights.iter().all(|(_, w)| *w == 0), EditError::NoWeight { name: name() }))
+            .or_else(|| {
+                check(
+                    |entry| entry.weights.iter().all(|(_, w)| *w == 0),
+                    EditError::NoWeight { name: name() },
+                )
+            })
     }
 }
 
-fn bounded(p: &str) -> bool {
-    p.starts_with('/') && p.ends_with('/')
+fn has_outer_slashes(prefix: &str) -> bool {
+    prefix.starts_with('/') && prefix.ends_with('/')
 }
--- a/crates/control-state/src/items.rs
+++ b/crates/control-state/src/items.rs
@@ -1,5 +1,4 @@
-//! The things the control state holds. Each is an item under a key, with its
-//! own version.
+//! The items of the control state. Each is stored under a key and has a version of its own.
 use crate::configuration::{CallerLimits, LaneEntry, PurgeBy, Section, ServiceEntry};
 use crate::stored_node::StoredNode;
 use primitives::{Addr, Birth, Mono, NodeId, Span, Version};
@@ -25,11 +24,11 @@
 }
 
 name!(
-    /// A lane: one kind of request.
+    /// Name of a route: one kind of request.
     Lane
 );
 name!(
-    /// A service: what a set of like origins serves.
+    /// Name of a service: what a set of equivalent origins serves.
     Svc
 );
 name!(
@@ -37,73 +36,79 @@
     Zone
 );
 name!(
-    /// An operator's id for one change; the same id is the same change.
+    /// Id that an operator gives to a change; a change with the same id is a replay.
     ChangeId
 );
 
 impl Zone {
+    /// The part before the slash.
     pub fn region(&self) -> &str {
         self.0.split('/').next().unwrap_or("")
     }
 }
 
+/// Names an item.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Key {
     Row(Lane, Svc),
-    /// By address: whoever takes an address over follows its last holder in order.
+    /// By address, so that changes of successive origins at one address are ordered.
     Origin(Addr),
     Node(NodeId),
+    /// Cached copies of a service by path prefix; an empty prefix covers all of them.
     Purge(Svc, String),
-    /// Which ledgers keep the ledger of keys.
+    /// The ledger sets.
     Roll,
-    /// One entry of the operator's configuration.
+    /// An entry of the configuration, by section and name.
     Entry(Section, String),
     PurgeBy(PurgeBy),
 }
 
-/// What requests of a lane are. Where rows of one lane differ, the strictest
-/// (last in this list) holds for the whole lane.
+/// How requests of a route are handled. If the rows of a route differ, the strictest kind (the last
+/// in this list) applies to the whole route.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// Readable content: copies are shared.
+    /// Cacheable content: cached copies are shared between callers.
     Read,
-    /// Asked of the origin each time.
+    /// Each request goes to an origin.
     Plain,
-    /// Asked of the origin, and run at most once.
+    /// Each request goes to an origin, and is executed at most once.
     Once,
-    /// Carries a key and runs once.
+    /// Requests carry an idempotency key; those with the same key are executed once.
     Keyed,
 }
 
-/// One cell of the table of lanes x services.
+/// One cell of the table of routes by services.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
+    /// Share of the route's requests that goes to this service, relative to its other rows.
     pub weight: u32,
-    /// Requests a second that all origins of the service together may get.
-    /// Invariant: the lowest of a service's rows holds for the service.
+    /// Requests per second to all origins of the service together. Invariant: the lowest ceiling
+    /// of a service's rows applies to the service.
     pub ceiling: u32,
-    /// Urgency; 0 goes first.
+    /// Priority; 0 is the highest.
     pub rank: u8,
     pub kind: Kind,
-    /// How long a copy lives.
+    /// Time-to-live of a cached copy.
     pub ttl: Span,
 }
 
+/// Whether an origin or node takes part, or is being drained.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Standing {
     Serving,
     Leaving,
 }
 
+/// A registered origin.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Origin {
     pub svc: Svc,
-    /// Which life of which process; an address alone is not an identity.
+    /// Incarnation of the process; an address alone does not identify an origin.
     pub birth: Birth,
     pub zone: Zone,
-    /// How many requests at once it says it holds.
+    /// Concurrent requests that it accepts, as it reports.
     pub cap: u32,
-    /// What it calls its life itself, if it does.
+    /// The name that this incarnation gives itself; empty if it has none.
     pub tag: String,
     pub standing: Standing,
 }
@@ -115,20 +120,24 @@
     Ledger,
 }
 
+/// A registered edge or ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "StoredNode", into = "StoredNode")]
 pub struct Node {
     pub role: Role,
+    /// Address for messages between lanewing's processes.
     pub addr: Addr,
+    /// Address for HTTP.
     pub http: Addr,
     pub zone: Zone,
-    /// An edge's life, or the life of a ledger's disk.
+    /// Incarnation of an edge's process, or of a ledger's disk.
     pub birth: Birth,
     pub standing: Standing,
-    /// Answers a second that it can hand to other nodes, as far as its machine goes.
+    /// Responses per second that its machine can transfer to other nodes.
     pub capacity: u32,
 }
 
+/// Content of an item; its variant matches that of the key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
     Row(Row),
@@ -141,24 +150,25 @@
     Limits(CallerLimits),
 }
 
-/// Invariant: `ver` grows by one with each change of the item, also across its
-/// deletion (`body` none is the tombstone), so the larger is always the newer.
+/// A versioned value. Without a body it is a tombstone. Invariant: `ver` increases with each change
+/// of the item, also across its deletion, so of two versions the higher is the newer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
     pub ver: Version,
     pub body: Option<Body>,
 }
 
-/// What an origin says of itself in a beat.
+/// The state that an origin reports in a heartbeat.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Mood {
     Warming,
     Serving,
     Leaving,
-    /// The sign-off.
+    /// It deregisters with this heartbeat.
     Gone,
 }
 
+/// A heartbeat of an origin.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OriginHeartbeat {
     pub svc: Svc,
@@ -166,30 +176,32 @@
     pub birth: Birth,
     pub zone: Zone,
     pub cap: u32,
-    /// Requests in hand.
+    /// Number of in-flight requests.
     pub occupancy: u32,
     pub mood: Mood,
-    /// Grows with every word of one life; nought where its origin does not count.
+    /// Increases with each heartbeat of one incarnation; 0 if the origin does not count them.
     pub seq: u64,
-    /// What its origin calls its life itself, if it does.
+    /// The name that this incarnation gives itself; empty if it has none.
     pub tag: String,
 }
 
 impl Mood {
-    /// A last word or the one before: this life does not serve again.
+    /// Whether the origin leaves or has left: this incarnation does not serve again.
     pub fn ends(self) -> bool {
         matches!(self, Mood::Leaving | Mood::Gone)
     }
 }
 
 impl OriginHeartbeat {
-    /// Whether this one, heard then, takes the place of what was heard before at its
-    /// address: the later word counts, but a life that said it leaves never serves again,
-    /// and of one life's counted words the higher is the later.
-    pub fn replaces(&self, heard: Mono, was: Option<&(OriginHeartbeat, Mono)>) -> bool {
-        let over = |w: &OriginHeartbeat| w.birth == self.birth && w.mood.ends() && !self.mood.ends();
-        let late = |w: &OriginHeartbeat| w.birth == self.birth && self.seq < w.seq;
-        was.is_none_or(|(w, t)| heard > *t && !over(w) && !late(w))
+    /// Whether this heartbeat, received at `heard`, replaces the previous one from its address. The
+    /// later one counts; but an incarnation that reported that it leaves never serves again, and
+    /// among the numbered heartbeats of one incarnation the higher number is the later.
+    pub fn replaces(&self, heard: Mono, previous: Option<&(OriginHeartbeat, Mono)>) -> bool {
+        let has_ended = |earlier: &OriginHeartbeat| {
+            earlier.birth == self.birth && earlier.mood.ends() && !self.mood.ends()
+        };
+        let is_outdated = |earlier: &OriginHeartbeat| earlier.birth == self.birth && self.seq < earlier.seq;
+        previous.is_none_or(|(earlier, at)| heard > *at && !has_ended(earlier) && !is_outdated(earlier))
     }
 }
 
@@ -197,8 +209,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
     pub member_id: caesar::MemberId,
+    /// Address for messages between lanewing's processes.
     pub addr: Addr,
+    /// Address for HTTP.
     pub http: Addr,
     pub zone: Zone,
+    /// Incarnation of its disk.
     pub birth: Birth,
 }
