--- a/crates/control-state/src/ceiling_share.rs
+++ b/crates/control-state/src/ceiling_share.rs
@@ -1,64 +1,67 @@
-//! How a service's ceiling is split between the edges' own shares and what the
-//! leader lends.
+//! How the ceiling of a service is split between the edges' own shares and the tokens that they
+//! borrow from the leader.
 use crate::capacity::parts;
 use crate::configuration::Section;
 use crate::items::*;
 use primitives::Span;
 use std::collections::BTreeMap;
 
-/// How long a lent request may be used, by the borrower's clock from its asking.
+/// How long a borrowed token may be used, by the borrower's clock, from its request for it.
 pub const BORROWED_TOKEN_TTL: Span = Span::ms(400);
 
-/// Requests a second. Invariant: `own` and `lent` together stay below the ceiling.
+/// How a ceiling is split, in requests per second. Invariant: `own` and `lent` together stay below
+/// the ceiling.
 #[derive(Copy, Clone, Debug, PartialEq)]
 pub struct Share {
     pub ceiling: f64,
-    /// What all edges together have of their own, each its part of it; see `parts`.
+    /// The rate of all edges together without borrowing; see `parts` for each edge's part of it.
     pub own: f64,
-    /// What the leader lends.
+    /// The rate of borrowed tokens.
     pub lent: f64,
 }
 
-/// Parts of the ceiling that are the edges' own, and that are lent.
-const OWN: f64 = 0.55;
+/// The part of the ceiling that is the edges' own.
+const OWN_PART: f64 = 0.55;
+/// The part of the ceiling that is for borrowed tokens.
 const BORROWED_PART: f64 = 0.4;
 
 impl Share {
-    /// Nothing bounds it.
+    /// Whether there is no ceiling.
     pub fn free(&self) -> bool {
         self.ceiling.is_infinite()
     }
 
-    fn of(c: f64, sharers: usize) -> Share {
-        // Each sharer may burst by one request; where that would already be more
-        // than a twentieth of the ceiling in five seconds, all of it is lent.
-        if sharers as f64 <= 0.25 * c {
-            Share { ceiling: c, own: OWN * c, lent: BORROWED_PART * c }
+    fn of(ceiling: f64, sharers: usize) -> Share {
+        // Each sharing edge may burst by one request. If these bursts alone exceed a twentieth of what
+        // the ceiling allows in five seconds, there are only borrowed tokens.
+        if sharers as f64 <= 0.25 * ceiling {
+            Share { ceiling, own: OWN_PART * ceiling, lent: BORROWED_PART * ceiling }
         } else {
-            Share { ceiling: c, own: 0.0, lent: (OWN + BORROWED_PART) * c }
+            Share { ceiling, own: 0.0, lent: (OWN_PART + BORROWED_PART) * ceiling }
         }
     }
 }
 
-/// The share of a service with so many thousandths of a request a second.
+/// The split of a rate limit, given in thousandths of a request per second; none is unlimited.
 pub fn rate_share(items: &BTreeMap<Key, Item>, rate: Option<u64>) -> Share {
-    let free = Share { ceiling: f64::INFINITY, own: f64::INFINITY, lent: 0.0 };
-    rate.map_or(free, |r| Share::of(r as f64 / 1000.0, parts(items).len()))
+    let unlimited = Share { ceiling: f64::INFINITY, own: f64::INFINITY, lent: 0.0 };
+    rate.map_or(unlimited, |rate| Share::of(rate as f64 / 1000.0, parts(items).len()))
 }
 
-/// The ceiling of a service: the lowest of its rows.
+/// The ceiling of a service in requests per second: the lowest of its rows.
 pub fn ceiling(items: &BTreeMap<Key, Item>, svc: &Svc) -> Option<u32> {
-    let of = |(k, it): (&Key, &Item)| match (k, &it.body) {
-        (Key::Row(_, s), Some(Body::Row(r))) if s == svc => Some(r.ceiling),
+    let row_ceiling = |(k, item): (&Key, &Item)| match (k, &item.body) {
+        (Key::Row(_, service), Some(Body::Row(row))) if service == svc => Some(row.ceiling),
         _ => None,
     };
-    items.iter().filter_map(of).min()
+    items.iter().filter_map(row_ceiling).min()
 }
 
+/// The split of a service's ceiling, by its entry or else by its rows; none for an unknown service.
 pub fn share(items: &BTreeMap<Key, Item>, svc: &Svc) -> Option<Share> {
-    let entry = items.get(&Key::Entry(Section::Services, svc.0.clone())).and_then(|it| it.body.as_ref());
+    let entry = items.get(&Key::Entry(Section::Services, svc.0.clone())).and_then(|item| item.body.as_ref());
     match entry {
-        Some(Body::Service(s)) => Some(rate_share(items, s.rate)),
-        _ => ceiling(items, svc).map(|c| Share::of(c as f64, parts(items).len())),
+        Some(Body::Service(service)) => Some(rate_share(items, service.rate)),
+        _ => ceiling(items, svc).map(|ceiling| Share::of(ceiling as f64, parts(items).len())),
     }
 }
--- a/crates/control-state/src/configuration.rs
+++ b/crates/control-state/src/configuration.rs
@@ -24,7 +24,7 @@
     pub kind: Kind,
     /// The longest time that a request may take.
     pub timeout: Span,
-    /// Target latency.
+    /// Target latency: a response within this time has its full value.
     pub aim: Span,
     /// Priority; 0 is the highest.
     pub rank: u8,
--- a/crates/control-state/src/follower.rs
+++ b/crates/control-state/src/follower.rs
@@ -7,6 +7,7 @@
 use crate::purges::is_expired_purge;
 use crate::source::Source;
 use crate::state::Era;
+use crate::subscription::{Sub, Update};
 use crate::update_streams::UpdateStreams;
 use caesar::MemberId;
 use primitives::{Addr, Birth, Epoch, Mono, NodeId, Span};
@@ -143,7 +144,7 @@
             capacity: e.capacity,
         };
         let era = self.era;
-        let (heard, source) = (self.source.heard(&to), self.source.is(&to));
+        let (heard, source) = (self.source.heartbeats_until(&to), self.source.is_source(&to));
         let (ask, life, wants) = (now, e.life, wants.to_vec());
         let sub = Sub { id: e.id, node, era, feed, got, ask, life, heard, source, wants, epoch };
         Out::Send(to, Msg::Sub(Box::new(sub)))
@@ -171,7 +172,7 @@
         out.extend(due.map(|held| Out::Send(held.by, Msg::Got { id, feed: held.feed, got: held.got })));
         let reply = n.reply.as_ref().filter(|r| r.life == self.env.life);
         self.source.note_missing_items(now, self.feeds.has_missing_items(), !new.is_empty());
-        reply.into_iter().for_each(|r| self.source.replied(now, from, r));
+        reply.into_iter().for_each(|r| self.source.on_reply(now, from, r));
         if let Some(r) = reply.filter(|r| r.lent) {
             self.sure = self.sure.max(n.era);
             let l = self.leases.entry(r.member_id).or_default();
--- a/crates/control-state/src/message.rs
+++ b/crates/control-state/src/message.rs
@@ -1,4 +1,5 @@
-//! Every message between lanewing's own processes.
+//! The messages between lanewing's processes. They are encoded by position: the order of variants and
+//! fields must not change.
 use crate::cache_messages::{CopyReply, DiskCachePut, Patience, Reach};
 use crate::call::{Call, CallAnswer};
 use crate::command::Cmd;
@@ -9,156 +10,107 @@
 use crate::rounds::*;
 use crate::snapshot::SnapshotMessage;
 use crate::state::Era;
+use crate::subscription::{Sub, Update};
 use crate::whole::Whole;
 use caesar::{CommandId, MemberId, Message};
 use primitives::{Birth, Epoch, Mono, NodeId, Span, Version};
 use serde::{Deserialize, Serialize};
 use strum::IntoStaticStr;
 
-/// What a subscriber says to each controller it knows, several times a second.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sub {
-    pub id: NodeId,
-    pub node: Node,
-    /// The era whose roster it goes by.
-    pub era: Era,
-    /// The feed it follows and the last number it holds of it.
-    pub feed: u64,
-    pub got: u64,
-    /// When it asked, by its own clock; comes back in the reply.
-    pub ask: Mono,
-    /// Which life of its process asked; comes back with `ask`.
-    pub life: u64,
-    /// The `at` of the last reply that came from this controller.
-    pub heard: Mono,
-    /// It is to send items whole, and heartbeats; of the others announcements will do.
-    pub source: bool,
-    /// Requests it would let out beyond its share, by service.
-    pub wants: Vec<(Svc, u32)>,
-    pub epoch: Epoch,
-}
-
-/// A controller's numbered news to one subscriber, or its reply to a `Sub`.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Update {
-    pub feed: u64,
-    /// Holds the changes `from + 1 ..= to`.
-    pub from: u64,
-    pub to: u64,
-    /// Starts the feed anew with all there is.
-    pub full: bool,
-    pub items: Vec<(Key, Item)>,
-    /// Larger items, by their versions: another controller sends them whole.
-    pub announced: Vec<(Key, Version)>,
-    pub era: Era,
-    /// The members of that era; none if the subscriber goes by it already.
-    pub members: Vec<Member>,
-    pub reply: Option<Reply>,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reply {
-    pub ask: Mono,
-    pub life: u64,
-    pub member_id: MemberId,
-    /// The setup lease is renewed from `ask` on.
-    pub lent: bool,
-    /// When it was made, by the controller's clock, if it tells heartbeats; comes back with the
-    /// next asking.
-    pub at: Option<Mono>,
-    /// Origins' heartbeats that came since the reply named in the asking, and their ages.
-    pub beats: Vec<(OriginHeartbeat, Span)>,
-    pub slices: Vec<(Svc, u32)>,
-    pub epoch: Epoch,
-}
-
+/// A message. The names of the variants in snake case, or those given by `serialize`, are labels of
+/// metrics.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Msg {
-    // between controllers
+    // Between controllers.
+    /// A message of the agreement of this era, from this member.
     Agreement(Era, MemberId, Box<Message<Cmd>>),
-    /// A controller without a roster shows itself.
+    /// An unjoined controller announces itself.
     Unjoined(Member),
-    /// A piece of a snapshot, or about one.
+    /// Transfer of a snapshot.
     Snapshot(Box<SnapshotMessage>),
-    /// The sender's own era is behind, or it has no seat.
+    /// The sender is in this earlier era, or is not a member.
     WantSnapshot(Era, Birth),
-    /// The disk of this birth has synced the snapshot of this era, and has no seat in it.
+    /// The disk of this incarnation has synced the snapshot of this era, and is not a member in it.
     #[strum(serialize = "learned")]
     SnapshotStored(Era, Birth),
     /// The member is about to stop.
     Leaving(MemberId),
-    /// Who has a seat, for processes that have none to pass on.
+    /// The members of this era, for processes that are not members themselves.
     #[strum(serialize = "roster")]
     Membership(Era, Vec<Member>),
-    /// The one blank controller that is to found the deployment.
+    /// Names the one unjoined controller that shall found the deployment.
     Found(Birth),
-    /// A node passes on what it was asked, under a number of its own.
+    /// A node forwards a call, under an id of its own.
     Call(RequestId, Box<Call>),
     CallAnswered(RequestId, Box<CallAnswer>),
-    /// Beats and their ages, as of a moment after the receiver's own one given last:
-    /// the sender's clock now, and the receiver's as it was last heard.
+    /// Heartbeats with their ages, then the sender's clock now, and the receiver's clock as last
+    /// received from it. The ages are as of a moment after the latter.
     #[strum(serialize = "beats")]
     Heartbeats(Vec<(OriginHeartbeat, Span)>, Mono, Option<Mono>),
+    /// Asks whether this command is in force.
     #[strum(serialize = "ask_force")]
     InForceQuery(Era, CommandId),
+    /// The command is in force as far as this member is concerned: none of its subscribers lacks it.
     InForce(Era, CommandId, MemberId),
-    /// The sender has applied it from a synced decision.
+    /// This member has applied the command from a decision that is synced to its disk.
     Applied(Era, CommandId, MemberId),
+    /// Asks whether the receiver has applied this command.
     #[strum(serialize = "ask_applied")]
     AppliedQuery(Era, CommandId),
-    /// By the era that followed a roster: members of it that are past it, see `controller`.
+    /// Members of earlier memberships that are past them, each with the era that followed the
+    /// membership; see crate `controller`.
     Landed(Vec<(Era, MemberId)>),
-    /// To itself: what was saved before this was sent, at that time, is synced.
+    /// To itself: everything that was saved before this time is synced to disk.
     Synced(Mono),
-    /// The sender's disk takes too long to lead.
+    /// The disk of this member is too slow for it to lead.
     SlowDisk(MemberId),
-    /// A member asks for the leadership, at a moment of its own clock.
+    /// A member requests the leadership, at time `asked` of its own clock.
     #[strum(serialize = "ask_leadership")]
     LeadershipRequest {
         candidate: MemberId,
         epoch: Epoch,
         asked: Mono,
     },
-    /// The highest epoch heard of, and if granted, when it was asked for.
+    /// The highest epoch that the voter knows; if granted, `asked` of the request.
     LeadershipVote {
         voter: MemberId,
         epoch: Epoch,
         granted: Option<Mono>,
     },
-    // subscribers and controllers
+    // Between subscribers and controllers.
     Sub(Box<Sub>),
     Update(Box<Update>),
-    /// A subscriber holds this feed up to this number.
+    /// Acknowledgement: the subscriber holds this update stream up to the number `got`.
     Got {
         id: NodeId,
         feed: u64,
         got: u64,
     },
-    // between edges
+    // Between edges.
     #[strum(serialize = "copy_ask")]
     CopyQuery {
         ask: RequestId,
         object: Object,
-        /// As the first caller sent them, less what is its own.
+        /// The header fields of the first caller, without those that concern only that caller.
         heads: Headers,
-        /// For whom the asked one is to have a copy.
+        /// For which edges the receiver shall hold a copy.
         reach: Reach,
-        /// The `ETag` of a lapsed copy that the asker still holds.
+        /// The `ETag` of an expired copy that the sender still holds.
         held: Option<String>,
         patience: Patience,
     },
-    /// The home edge is at it.
+    /// The home edge is working on the query.
     #[strum(serialize = "copy_wait")]
     CopyPending(RequestId),
     #[strum(serialize = "copy_got")]
     CopyResult {
         ask: RequestId,
         said: CopyReply,
-        /// Of all purges that the sender knows, see `purge_digest`.
+        /// Digest of all purges that the sender knows; see `purge_digest`.
         purges: u64,
     },
-    // edges and ledgers
+    // Between edges and ledgers, and between ledgers.
     #[strum(serialize = "stock_offer")]
     DiskCacheOffer(RequestId),
     #[strum(serialize = "stock_want")]
@@ -168,11 +120,12 @@
     },
     #[strum(serialize = "stock_put")]
     DiskCachePut(Mono, Box<DiskCachePut>),
+    /// An edge asks a ledger to grant the key to an attempt.
     Claim {
         key: String,
         print: Fingerprint,
         round: RoundId,
-        /// The version of the roll by which the key's ledgers were named.
+        /// The version of the ledger sets by which the key's ledgers were chosen.
         roll: Version,
     },
     Claimed {
@@ -180,66 +133,68 @@
         round: RoundId,
         said: Claimed,
     },
-    /// The round will never be sent: the key is free again.
+    /// The attempt will never be sent to an origin: the key is free again.
     Release {
         key: String,
         round: RoundId,
     },
+    /// The outcome of an attempt, to be stored.
     Outcome {
         key: String,
         print: Fingerprint,
         round: RoundId,
         whole: Whole,
     },
+    /// The ledger has stored the outcome.
     Kept {
         key: String,
         round: RoundId,
     },
-    /// Repair between ledgers: digests over ranges, then what differs.
+    /// Repair between ledgers: digests of ranges of keys, then the ranges that differ.
     Digests(Vec<u64>),
     Ranges(Vec<(u16, Vec<Held>)>),
-    /// A ledger asks a seat for all it holds of the asker's keys, by this version of
-    /// the roll.
+    /// A ledger asks another for all that it holds of the sender's keys, by this version of the
+    /// ledger sets.
     Recall {
         ask: u64,
         roll: Version,
         purpose: RecallPurpose,
     },
-    /// One part of the answer, of so many. Invariant: sent only by a seat that may
-    /// grant, and all parts of one asking are as of one moment.
+    /// Part number `part` of `of` of the answer. Invariant: sent only by a ledger that may grant,
+    /// and all parts of one answer show its state at one moment.
     Recalled {
         ask: u64,
         part: u32,
         of: u32,
         held: Vec<Held>,
     },
-    /// A controller to a ledger of the newer set: this version of the roll is in force.
+    /// To a ledger of the newer set: this version of the ledger sets is in force.
     Fill {
         roll: Version,
     },
-    /// The ledger holds, on disk, what the older set granted.
+    /// This ledger holds, on disk, what the older set granted.
     Filled {
         id: NodeId,
         roll: Version,
     },
-    /// A leaving ledger passes on what it holds of the receiver's keys.
+    /// A leaving ledger hands over what it holds of the receiver's keys.
     HandOver {
         ask: u64,
         held: Vec<Held>,
     },
-    /// The receiver holds all of that, on disk.
+    /// All that was handed over is on disk.
     HandedOver {
         ask: u64,
     },
 }
 
 impl Msg {
-    /// Its sort, as figures name it.
+    /// The name of the variant as a label of metrics.
     pub fn kind(&self) -> &'static str {
         self.into()
     }
 
-    pub fn agreement(era: Era, member_id: MemberId, w: Message<Cmd>) -> Msg {
-        Msg::Agreement(era, member_id, Box::new(w))
+    pub fn agreement(era: Era, member_id: MemberId, message: Message<Cmd>) -> Msg {
+        Msg::Agreement(era, member_id, Box::new(message))
     }
 }
--- a/crates/control-state/src/object.rs
+++ b/crates/control-state/src/object.rs
@@ -1,21 +1,21 @@
-//! What a copy is a copy of.
+//! Identity of cacheable content.
 use crate::items::Svc;
 use serde::{Deserialize, Serialize};
 
-/// What tells equal paths of one service apart, as its origins see them: the host of the
-/// request, in lower case, or the lane's name where lanes have no host.
+/// Distinguishes equal paths of one service, as its origins do: the host of the request in lower
+/// case, or the name of the route if routes have no host.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Site(pub String);
 
-/// Readable content of a service.
+/// Cacheable content of a service.
 ///
-/// Invariant: two requests for one object get the same answer from an origin. The name of the lane
-/// that led to it is no part of it: a lane may take another host, service or prefix under its old
+/// Invariant: two requests for one object get the same response from an origin. The name of the
+/// route is not part of the identity: a route may get another host, service or prefix under the same
 /// name, and nodes learn of that at different times.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Object {
     pub service: Svc,
     pub site: Site,
-    /// With its query.
+    /// Including the query.
     pub path: String,
 }
--- a/crates/control-state/src/request_id.rs
+++ b/crates/control-state/src/request_id.rs
@@ -1,10 +1,10 @@
-//! Numbers by which an answer from another process finds what it answers.
+//! Ids that match an answer from another process to its request.
 use primitives::Birth;
 use serde::{Deserialize, Serialize};
 
-/// Names one question of one life of a process. Invariant: a process gives each number
-/// once, and each of its lives has another birth; so an answer to an earlier life, or to
-/// another node that had the same address, matches no question of this one.
+/// Id of a request of one incarnation of a process. Invariant: an incarnation uses each number once,
+/// and each incarnation has another `birth`. So an answer to an earlier incarnation, or to another
+/// node that had the same address, matches no request of this one.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId {
     pub birth: Birth,
--- a/crates/control-state/src/rounds.rs
+++ b/crates/control-state/src/rounds.rs
@@ -1,10 +1,10 @@
-//! Rounds of keyed requests, and what ledgers say and keep of them.
+//! Attempts of keyed requests, and what ledgers answer and store about them.
 use crate::headers::Fingerprint;
 use crate::whole::Whole;
 use primitives::{Birth, NodeId, Span};
 use serde::{Deserialize, Serialize};
 
-/// One try at a keyed request: who tries, in which life, and its count.
+/// Identifies one attempt of a keyed request: the edge, its incarnation, and a counter.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RoundId {
     pub node: NodeId,
@@ -13,23 +13,23 @@
 }
 
 impl RoundId {
-    /// No round: what a ledger notes that cannot know which of several has the key.
+    /// No attempt: stored by a ledger that cannot know which of several attempts has the key.
     pub const NONE: RoundId = RoundId { node: NodeId(0), birth: Birth(0), n: 0 };
 }
 
-/// What a ledger says to a claim.
+/// A ledger's answer to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Claimed {
     Granted,
-    /// Another round has it; its outcome, once known.
+    /// Another attempt has the key; its outcome, if known.
     Held(Option<Whole>),
-    /// The key came with another body before.
+    /// The key was used before with a different request.
     PayloadMismatch,
-    /// This ledger may not grant yet, or its disk will not take it.
+    /// This ledger may not grant yet, or its disk does not accept the grant.
     CannotGrant,
 }
 
-/// A ledger's record of one key, as shown to another ledger.
+/// A ledger's record of a key, as sent to another ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
     pub key: String,
@@ -40,18 +40,18 @@
 }
 
 impl Held {
-    /// What it comes to, roughly, on a link and in memory.
+    /// Approximate size in bytes, encoded and in memory.
     pub fn size(&self) -> usize {
-        128 + self.key.len() + self.whole.as_ref().map_or(0, |w| w.size())
+        128 + self.key.len() + self.whole.as_ref().map_or(0, |outcome| outcome.size())
     }
 }
 
-/// What a recall is for.
+/// Purpose of a recall.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecallPurpose {
-    /// The asker's disk is new: it may not grant before it holds what the lost one held.
+    /// The sender's disk is new: it may not grant before it holds what the lost disk held.
     AfterDiskLoss,
-    /// The set of ledgers changes. Invariant: whoever answers grants nothing any more to
-    /// rounds that were claimed by an earlier version of the roll.
+    /// The ledger set changes. Invariant: a ledger that has answered grants nothing any more to
+    /// attempts that were claimed by an earlier version of the ledger sets.
     Fill,
 }
--- a/crates/control-state/src/source.rs
+++ b/crates/control-state/src/source.rs
@@ -1,16 +1,17 @@
-//! Which controller a follower has items and heartbeats from; of the others it wants leases.
+//! Selects the controller that sends a follower complete items and heartbeats. From the others it
+//! needs only lease renewals.
 use crate::follower::FollowerEnv;
 use crate::items::{Member, Zone};
-use crate::message::Reply;
+use crate::subscription::Reply;
 use primitives::{Addr, Mono, Span};
 use std::collections::BTreeMap;
 
-/// A controller that has not answered for so long is not relied on.
-const SILENCE: Span = Span::ms(600);
-/// Nor one that sends nothing for so long while items are lacking that others announced.
-const STUCK: Span = Span::secs(1);
+/// A controller that has not answered for this long is not selected.
+const MAX_SILENCE: Span = Span::ms(600);
+/// Nor is one that has sent nothing for this long while items are missing that others announced.
+const MAX_STALL: Span = Span::secs(1);
 
-/// How far a controller is.
+/// Distance of a controller, the nearest first.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Distance {
     SameZone,
@@ -19,8 +20,8 @@
 }
 
 impl Distance {
-    fn between(one: &Zone, other: &Zone) -> Distance {
-        match (one == other, one.region() == other.region()) {
+    fn between(a: &Zone, b: &Zone) -> Distance {
+        match (a == b, a.region() == b.region()) {
             (true, _) => Distance::SameZone,
             (_, true) => Distance::SameRegion,
             _ => Distance::Beyond,
@@ -28,60 +29,64 @@
     }
 }
 
-/// The controller chosen, and what is known of all. Until the first one answers, each is asked
-/// for everything.
+/// The selected controller, and what is known of all. Until the first one answers, each controller is
+/// asked for complete items.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Source {
     chosen: Option<Addr>,
-    /// When each answered last.
+    /// When each controller answered last, by our clock.
     answered: BTreeMap<Addr, Mono>,
-    /// By which of its times each has told heartbeats.
-    told: BTreeMap<Addr, Mono>,
-    /// Since when items are lacking and none came.
-    lacking: Option<Mono>,
+    /// `at` of the last reply of each controller that contained heartbeats, by its clock.
+    heartbeats_until: BTreeMap<Addr, Mono>,
+    /// Since when items have been missing and none have arrived.
+    missing_since: Option<Mono>,
 }
 
 impl Source {
-    /// Whether it is to send everything.
-    pub(crate) fn is(&self, controller: &Addr) -> bool {
+    /// Whether this controller shall send complete items.
+    pub(crate) fn is_source(&self, controller: &Addr) -> bool {
         self.chosen.is_none_or(|chosen| chosen == *controller)
     }
 
-    /// Heartbeats up to this time of its own were told by it.
-    pub(crate) fn heard(&self, controller: &Addr) -> Mono {
-        self.told.get(controller).copied().unwrap_or_default()
+    /// The time, by the controller's clock, up to which it has sent heartbeats.
+    pub(crate) fn heartbeats_until(&self, controller: &Addr) -> Mono {
+        self.heartbeats_until.get(controller).copied().unwrap_or_default()
     }
 
-    pub(crate) fn replied(&mut self, now: Mono, from: Addr, reply: &Reply) {
+    /// Records a reply.
+    pub(crate) fn on_reply(&mut self, now: Mono, from: Addr, reply: &Reply) {
         self.answered.insert(from, now);
         if let Some(at) = reply.at {
-            self.told.insert(from, at);
+            self.heartbeats_until.insert(from, at);
         }
     }
 
-    /// Items came, or none are lacking; or some still are.
-    pub(crate) fn note_missing_items(&mut self, now: Mono, lacking: bool, came: bool) {
-        let since = self.lacking.filter(|_| !came).unwrap_or(now);
-        self.lacking = lacking.then_some(since);
+    /// Records whether items are missing, and whether any have arrived just now.
+    pub(crate) fn note_missing_items(&mut self, now: Mono, missing: bool, arrived: bool) {
+        let since = self.missing_since.filter(|_| !arrived).unwrap_or(now);
+        self.missing_since = missing.then_some(since);
     }
 
-    /// Takes the nearest one that answers, and of those an own one for each follower; not while
-    /// the one chosen before is sending, unless that does not get on.
+    /// Selects the nearest controller that answers; among equally near ones, followers are spread by
+    /// hash. The selection stays while the selected controller is sending missing items, unless it
+    /// makes no progress.
     pub(crate) fn choose(&mut self, now: Mono, env: &FollowerEnv, members: &[Member]) {
-        let silent = |m: &Member| self.answered.get(&m.addr).is_none_or(|last| now - *last > SILENCE);
-        let is_chosen = |m: &&Member| Some(m.addr) == self.chosen;
-        let lasts = members.iter().find(is_chosen).is_some_and(|m| !silent(m));
-        let stuck = self.lacking.is_some_and(|since| now - since > STUCK);
-        if lasts && self.lacking.is_some() && !stuck {
+        let silent =
+            |member: &Member| self.answered.get(&member.addr).is_none_or(|at| now - *at > MAX_SILENCE);
+        let is_chosen = |member: &&Member| Some(member.addr) == self.chosen;
+        let is_available = members.iter().find(is_chosen).is_some_and(|member| !silent(member));
+        let stalled = self.missing_since.is_some_and(|since| now - since > MAX_STALL);
+        if is_available && self.missing_since.is_some() && !stalled {
             return;
         }
-        let place =
-            |m: &&Member| (Distance::between(&env.zone, &m.zone), primitives::hash(&(env.id, m.addr)));
-        let passed_by = |m: &&Member| stuck && is_chosen(m);
-        let good = members.iter().filter(|m| !silent(m) && !passed_by(m));
-        if let Some(next) = good.min_by_key(place).filter(|m| !is_chosen(m)) {
+        let preference = |member: &&Member| {
+            (Distance::between(&env.zone, &member.zone), primitives::hash(&(env.id, member.addr)))
+        };
+        let is_excluded = |member: &&Member| stalled && is_chosen(member);
+        let candidates = members.iter().filter(|member| !silent(member) && !is_excluded(member));
+        if let Some(next) = candidates.min_by_key(preference).filter(|member| !is_chosen(member)) {
             self.chosen = Some(next.addr);
-            self.lacking = self.lacking.map(|_| now);
+            self.missing_since = self.missing_since.map(|_| now);
         }
     }
 }
--- a/crates/control-state/src/update_streams.rs
+++ b/crates/control-state/src/update_streams.rs
@@ -3,7 +3,7 @@
 //! One controller sends items whole; the others announce larger ones by their versions. So a
 //! piece counts once all that it announces is held, whoever sent it.
 use crate::items::{Item, Key};
-use crate::message::Update;
+use crate::subscription::Update;
 use primitives::{Addr, Version};
 use std::collections::BTreeMap;
 
