--- a/crates/control-state/src/cache_messages.rs
+++ b/crates/control-state/src/cache_messages.rs
@@ -1,65 +1,70 @@
-//! What processes say to one another of copies.
+//! Parts of messages about cached copies.
 use crate::object::Object;
 use crate::state::Era;
 use crate::whole::Whole;
 use primitives::Span;
 use serde::{Deserialize, Serialize};
 
-/// A copy as one process hands it to another: its rest of life and its age.
+/// A cached copy as one process sends it to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferredCopy {
     pub whole: Whole,
+    /// Remaining time-to-live.
     pub left: Span,
+    /// Age as of sending.
     pub current_age: Span,
-    /// The origin said that it is for everybody, credentials or not.
+    /// The origin marked it as public: it may be shared even if the request had credentials.
     pub public: bool,
 }
 
-/// For which edges one edge, an object's home, has a copy.
+/// The edges for which the home edge of an object holds its copy.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Reach {
-    /// Those of its zone; it asks the region's home in turn.
+    /// Those of its zone; it asks the home edge of the region in turn.
     Zone,
-    /// Those of its region; it asks the deployment's home in turn, if there are more regions.
+    /// Those of its region; it asks the home edge of the deployment in turn, if there are more regions.
     Region,
     /// All of the deployment; it asks the origin.
     Deployment,
 }
 
-/// How long the callers of whoever asks for a copy wait yet.
+/// How much longer the callers behind a query for a copy wait.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Patience {
-    /// In line for leave to ask an origin.
+    /// In the queue for permission to send a request to an origin.
     pub in_line: Span,
-    /// In all.
+    /// In total.
     pub left: Span,
 }
 
+/// The answer to a query for a cached copy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CopyReply {
     Got(Box<TransferredCopy>),
-    /// The copy that the asker holds is still the newest; its rest of life and its age.
+    /// The copy that the sender of the query holds is still current; its remaining time-to-live and
+    /// its age.
     Same {
         left: Span,
         current_age: Span,
     },
-    /// There is none to be had here.
+    /// No copy can be obtained here.
     None,
-    /// This edge is out of touch, perhaps for a moment: others are to be asked meanwhile.
+    /// This edge is disconnected, perhaps only for a moment: query others meanwhile.
     TemporarilyUnavailable,
-    /// The origin's ceiling is used up: it is to be asked by nobody else either.
+    /// The ceiling of the origin's service is exhausted: no other edge shall send it this request.
     AtCeiling,
-    /// lanewing's own last word on it.
+    /// A final response that lanewing generated itself.
     Own(Box<Whole>),
-    /// The answer is not to be shared: each caller must be answered by the origin.
+    /// The response must not be shared: each caller needs one of its own from the origin.
     Uncacheable,
 }
 
-/// A copy on its way to a ledger.
+/// A copy for the disk cache of a ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DiskCachePut {
     pub object: Object,
     pub shown: TransferredCopy,
+    /// Of the purges that cover the object; see `mark`.
     pub mark: u64,
     /// See `is_purge_mark_valid`.
     pub sure: Era,
--- a/crates/control-state/src/call.rs
+++ b/crates/control-state/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls that a node passes on to a controller, and what comes back.
+//! Calls that a node forwards to a controller, and their answers.
 use crate::command::Change;
 use crate::digest::ItemsDigest;
 use crate::items::OriginHeartbeat;
@@ -8,39 +8,48 @@
 use primitives::Span;
 use serde::{Deserialize, Serialize};
 
-/// What any node may be asked of the control state.
+/// A call that concerns the control state; any node accepts it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Call {
     Change(Change),
     OriginHeartbeat(OriginHeartbeat),
+    /// Deregisters the origin that gives itself this name.
     SignOff(String),
-    /// The whole state, unless it is what the asker holds.
+    /// Asks for the complete state, unless its digest is this one.
     Read(ItemsDigest),
 }
 
+/// The answer to a forwarded call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CallAnswer {
     Change(Verdict),
     Acknowledged,
+    /// The controller cannot answer now, with its reason.
     Unavailable(String),
+    /// The complete state, and the heartbeats of origins with their ages.
     Table(Box<ControlState>, Vec<(OriginHeartbeat, Span)>),
+    /// The digest of the state is that of the request.
     Unchanged,
 }
 
 impl CallAnswer {
-    pub fn of(r: NodeReply) -> CallAnswer {
-        match r {
-            NodeReply::Change(v) => CallAnswer::Change(v),
-            NodeReply::Table(p, b) => CallAnswer::Table(p, b),
+    /// The form in which a controller sends a reply. Replies that are no results of a forwarded call
+    /// become `Acknowledged`.
+    pub fn of(reply: NodeReply) -> CallAnswer {
+        match reply {
+            NodeReply::Change(verdict) => CallAnswer::Change(verdict),
+            NodeReply::Table(state, heartbeats) => CallAnswer::Table(state, heartbeats),
             NodeReply::Unchanged => CallAnswer::Unchanged,
-            NodeReply::Unavailable(why) => CallAnswer::Unavailable(why.to_string()),
+            NodeReply::Unavailable(reason) => CallAnswer::Unavailable(reason.to_string()),
             _ => CallAnswer::Acknowledged,
         }
     }
+
+    /// The reply that the forwarding node gives to its caller.
     pub fn receipt(self) -> NodeReply {
         match self {
-            CallAnswer::Change(v) => NodeReply::Change(v),
-            CallAnswer::Table(p, b) => NodeReply::Table(p, b),
+            CallAnswer::Change(verdict) => NodeReply::Change(verdict),
+            CallAnswer::Table(state, heartbeats) => NodeReply::Table(state, heartbeats),
             CallAnswer::Unchanged => NodeReply::Unchanged,
             CallAnswer::Unavailable(_) => NodeReply::Unavailable("a controller cannot answer now"),
             CallAnswer::Acknowledged => NodeReply::Acknowledged,
--- a/crates/control-state/src/follower.rs
+++ b/crates/control-state/src/follower.rs
@@ -1,5 +1,5 @@
-//! Following the controllers, as edges and ledgers do: numbered news, merged by
-//! version, and the setup lease.
+//! How edges and ledgers follow the controllers: numbered updates, merged by version, and the lease
+//! without which a node does not serve.
 use crate::digest::ItemsDigest;
 use crate::items::*;
 use crate::message::*;
@@ -13,7 +13,7 @@
 use primitives::{Addr, Birth, Epoch, Mono, NodeId, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a follower is told about itself.
+/// Settings of a follower.
 #[derive(Clone, Debug)]
 pub struct FollowerEnv {
     pub id: NodeId,
@@ -21,42 +21,47 @@
     pub addr: Addr,
     pub http: Addr,
     pub zone: Zone,
+    /// Controllers to ask while no membership is known or there is no lease.
     pub seeds: Vec<Addr>,
-    /// An edge's life, or the life of a ledger's disk.
+    /// Incarnation of an edge's process, or of a ledger's disk.
     pub birth: Birth,
-    /// This process's life; renewals asked for by an earlier one lend nothing.
+    /// Incarnation of this process; replies to requests of an earlier one renew nothing.
     pub life: u64,
+    /// Duration of the lease.
     pub lease: Span,
     /// See `Node`.
     pub capacity: u32,
-    /// Goes on without a lease once it has held one: a deployment's choice of
-    /// serving while out of touch over denying; see `docs/in-force.md`.
+    /// Continue to serve without a lease once one was held: a deployment can choose to serve rather
+    /// than deny while disconnected; see `docs/in-force.md`.
     pub serve_without_lease: bool,
 }
 
+/// What an edge or ledger holds of the control state, and its lease.
 #[derive(Clone, Debug)]
 pub struct Follower {
     pub env: FollowerEnv,
     pub era: Era,
-    /// Invariant: all that was decided before this era is held: a controller in it renewed
-    /// the lease, which it does only for one who holds all that it applied.
+    /// Invariant: everything that was decided before this era is held. A controller in this era has
+    /// renewed the lease, which it does only for a follower that holds all that it has applied.
     pub sure: Era,
     pub members: Vec<Member>,
     /// Invariant: each item's version only grows.
     pub items: BTreeMap<Key, Item>,
-    /// Until when each controller's renewal carries the lease, counted from our asking.
+    /// Until when the renewal of each controller is valid, counted from our request.
     leases: BTreeMap<MemberId, Mono>,
-    feeds: UpdateStreams,
+    update_streams: UpdateStreams,
     source: Source,
-    asked: Mono,
-    /// Held the lease at some time of this life: then it holds all that an earlier life
-    /// may have shown.
-    touched: bool,
-    /// What it says of itself: one that leaves wants no place any more.
+    /// When subscription requests were sent last; 0 to send the next ones at once.
+    last_request: Mono,
+    /// Whether this incarnation has held the lease: then it holds all that an earlier incarnation
+    /// may have shown to callers.
+    has_held_lease: bool,
+    /// As it reports itself: a leaving node is not to be given any role.
     pub standing: Standing,
 }
 
-const EVERY: Span = Span::ms(200);
+/// Interval of subscription requests.
+const SUBSCRIPTION_INTERVAL: Span = Span::ms(200);
 
 impl Follower {
     pub fn new(env: FollowerEnv) -> Follower {
@@ -67,128 +72,137 @@
             members: vec![],
             items: BTreeMap::new(),
             leases: BTreeMap::new(),
-            feeds: UpdateStreams::default(),
+            update_streams: UpdateStreams::default(),
             source: Source::default(),
-            asked: Mono(0),
-            touched: false,
+            last_request: Mono(0),
+            has_held_lease: false,
             standing: Standing::Serving,
         }
     }
 
-    /// Of what it holds.
+    /// Digest of the items it holds.
     pub fn digest(&self) -> ItemsDigest {
         ItemsDigest::of(self.era, &self.items)
     }
 
+    /// Whether the next subscription requests are due.
     pub fn due(&self, now: Mono) -> bool {
-        now - self.asked >= EVERY
+        now - self.last_request >= SUBSCRIPTION_INTERVAL
     }
 
-    /// Whether it serves at all, lease or not.
+    /// Until when the node may serve: the end of the lease, or without end if it may continue to
+    /// serve without a lease.
     pub fn leased_until(&self) -> Mono {
-        let on = self.env.serve_without_lease && self.touched;
-        if on {
+        let unlimited = self.env.serve_without_lease && self.has_held_lease;
+        if unlimited {
             Mono(u64::MAX >> 1)
         } else {
             self.lease_quorum_until()
         }
     }
 
-    /// Until when the lease holds: so many controllers carry it that they meet every
-    /// classic quorum. Of an empty roster nothing does.
+    /// Until when the lease is valid: until then, so many controllers have renewed it that they
+    /// intersect every classic quorum. Without members there is no lease.
     pub fn lease_quorum_until(&self) -> Mono {
         if self.members.is_empty() {
             return Mono(0);
         }
-        let need = caesar::blocking_quorum(self.members.len());
-        let mut v: Vec<Mono> =
-            self.members.iter().filter_map(|m| self.leases.get(&m.member_id)).copied().collect();
-        v.sort_by(|a, b| b.cmp(a));
-        need.checked_sub(1).and_then(|i| v.get(i)).copied().unwrap_or_default()
+        let needed = caesar::blocking_quorum(self.members.len());
+        let mut renewals: Vec<Mono> =
+            self.members.iter().filter_map(|member| self.leases.get(&member.member_id)).copied().collect();
+        renewals.sort_by(|one, other| other.cmp(one));
+        needed.checked_sub(1).and_then(|index| renewals.get(index)).copied().unwrap_or_default()
     }
 
+    /// Whether the node may serve now; see `leased_until`.
     pub fn leased(&self, now: Mono) -> bool {
         !self.members.is_empty() && self.leased_until() > now
     }
 
-    /// This node as the control state knows it, if in this very life.
+    /// This node in the control state, if it is registered with this incarnation.
     pub fn own_node(&self) -> Option<&Node> {
         match self.items.get(&Key::Node(self.env.id))?.body.as_ref()? {
-            Body::Node(n) => Some(n).filter(|n| n.birth == self.env.birth),
+            Body::Node(node) => Some(node).filter(|node| node.birth == self.env.birth),
             _ => None,
         }
     }
 
-    /// Asks every controller it knows of for news, a renewal, beats and slices.
+    /// Asks every known controller for updates, a renewal of the lease, heartbeats and borrowed
+    /// tokens.
     pub fn subscribe(&mut self, now: Mono, wants: &[(Svc, u32)], epoch: Epoch, out: &mut Vec<Out>) {
-        self.asked = now;
+        self.last_request = now;
         self.source.choose(now, &self.env, &self.members);
-        // Without a lease the seeds are asked too: the roster may have moved on.
-        let lost = self.lease_quorum_until() <= now;
-        let seeds = self.env.seeds.iter().copied().filter(|_| lost);
-        let all: BTreeSet<Addr> = self.members.iter().map(|m| m.addr).chain(seeds).collect();
-        out.extend(all.into_iter().map(|a| self.sub(now, a, wants, epoch)));
+        // Without a lease the seeds are asked too: the membership may have changed.
+        let unleased = self.lease_quorum_until() <= now;
+        let seeds = self.env.seeds.iter().copied().filter(|_| unleased);
+        let controllers: BTreeSet<Addr> =
+            self.members.iter().map(|member| member.addr).chain(seeds).collect();
+        out.extend(controllers.into_iter().map(|addr| self.sub(now, addr, wants, epoch)));
     }
 
-    /// One asking, of one controller.
+    /// The subscription request to one controller.
     pub fn sub(&self, now: Mono, to: Addr, wants: &[(Svc, u32)], epoch: Epoch) -> Out {
-        let (feed, got) = self.feeds.position(&to);
-        let e = &self.env;
+        let (feed, got) = self.update_streams.position(&to);
+        let env = &self.env;
         let node = Node {
-            role: e.role,
-            addr: e.addr,
-            http: e.http,
-            zone: e.zone.clone(),
-            birth: e.birth,
+            role: env.role,
+            addr: env.addr,
+            http: env.http,
+            zone: env.zone.clone(),
+            birth: env.birth,
             standing: self.standing,
-            capacity: e.capacity,
+            capacity: env.capacity,
         };
         let era = self.era;
         let (heard, source) = (self.source.heartbeats_until(&to), self.source.is_source(&to));
-        let (ask, life, wants) = (now, e.life, wants.to_vec());
-        let sub = Sub { id: e.id, node, era, feed, got, ask, life, heard, source, wants, epoch };
+        let (ask, life, wants) = (now, env.life, wants.to_vec());
+        let sub = Sub { id: env.id, node, era, feed, got, ask, life, heard, source, wants, epoch };
         Out::Send(to, Msg::Sub(Box::new(sub)))
     }
 
-    /// Takes news in; returns what is newer than what was held.
-    pub fn on_update(&mut self, now: Mono, from: Addr, n: &Update, out: &mut Vec<Out>) -> Vec<Key> {
-        if n.era >= self.era && !n.members.is_empty() {
-            self.era = n.era;
-            self.members = n.members.clone();
+    /// Merges an update; returns the keys of the items that were newer than those held.
+    pub fn on_update(&mut self, now: Mono, from: Addr, update: &Update, out: &mut Vec<Out>) -> Vec<Key> {
+        if update.era >= self.era && !update.members.is_empty() {
+            self.era = update.era;
+            self.members = update.members.clone();
         }
-        // Out of order it is still news, for versions sort it; only the number
-        // acknowledged must have no gap.
-        let new: Vec<Key> =
-            n.items.iter().filter(|(k, it)| merge(&mut self.items, k, it)).map(|(k, _)| k.clone()).collect();
+        // Items are merged by version, so an update is useful out of order too; only the number that
+        // is acknowledged must leave no gap.
+        let newer: Vec<Key> = update
+            .items
+            .iter()
+            .filter(|(key, item)| merge(&mut self.items, key, item))
+            .map(|(key, _)| key.clone())
+            .collect();
         let era = self.era;
-        self.items.retain(|k, it| !is_expired_purge(era, k, it));
-        // Whoever holds all may be lent the lease: it asks at once.
-        if n.full {
-            self.asked = Mono(0);
+        self.items.retain(|key, item| !is_expired_purge(era, key, item));
+        // Whoever holds the complete state may get the lease: ask for it at once.
+        if update.full {
+            self.last_request = Mono(0);
         }
-        self.feeds.take(from, n);
+        self.update_streams.record(from, update);
         let id = self.env.id;
-        let due = self.feeds.settle(&self.items).into_iter();
-        out.extend(due.map(|held| Out::Send(held.by, Msg::Got { id, feed: held.feed, got: held.got })));
-        let reply = n.reply.as_ref().filter(|r| r.life == self.env.life);
-        self.source.note_missing_items(now, self.feeds.has_missing_items(), !new.is_empty());
-        reply.into_iter().for_each(|r| self.source.on_reply(now, from, r));
-        if let Some(r) = reply.filter(|r| r.lent) {
-            self.sure = self.sure.max(n.era);
-            let l = self.leases.entry(r.member_id).or_default();
-            *l = (*l).max(r.ask + self.env.lease);
-            self.touched |= self.lease_quorum_until() > Mono(0);
+        let due = self.update_streams.advance_all(&self.items).into_iter();
+        out.extend(due.map(|ack| Out::Send(ack.to, Msg::Got { id, feed: ack.feed, got: ack.got })));
+        let reply = update.reply.as_ref().filter(|reply| reply.life == self.env.life);
+        self.source.note_missing_items(now, self.update_streams.has_missing_items(), !newer.is_empty());
+        reply.into_iter().for_each(|reply| self.source.on_reply(now, from, reply));
+        if let Some(reply) = reply.filter(|reply| reply.lent) {
+            self.sure = self.sure.max(update.era);
+            let lease = self.leases.entry(reply.member_id).or_default();
+            *lease = (*lease).max(reply.ask + self.env.lease);
+            self.has_held_lease |= self.lease_quorum_until() > Mono(0);
         }
-        new
+        newer
     }
 }
 
-/// Takes the newer of two versions of an item; true if `new` was newer.
-/// Invariant: the only way an edge's table changes, hence it never goes back.
-pub fn merge(items: &mut BTreeMap<Key, Item>, k: &Key, new: &Item) -> bool {
-    let newer = items.get(k).is_none_or(|was| was.ver < new.ver);
+/// Stores an item if it is newer than the one held; returns whether it was. Invariant: this is the
+/// only way in which the items of an edge change, so their versions never decrease.
+pub fn merge(items: &mut BTreeMap<Key, Item>, key: &Key, new: &Item) -> bool {
+    let newer = items.get(key).is_none_or(|held| held.ver < new.ver);
     if newer {
-        items.insert(k.clone(), new.clone());
+        items.insert(key.clone(), new.clone());
     }
     newer
 }
--- a/crates/control-state/src/update_streams.rs
+++ b/crates/control-state/src/update_streams.rs
@@ -1,117 +1,126 @@
-//! How far a follower holds the updates of each controller, piece by piece.
+//! Tracks up to which update a follower holds the update stream of each controller.
 //!
-//! One controller sends items whole; the others announce larger ones by their versions. So a
-//! piece counts once all that it announces is held, whoever sent it.
+//! One controller sends complete items; the others announce larger items by their versions. So an
+//! update is complete once all items that it announces are held, whichever controller sent them.
 use crate::items::{Item, Key};
 use crate::subscription::Update;
 use primitives::{Addr, Version};
 use std::collections::BTreeMap;
 
-/// Pieces of one controller that may wait for items; it sends them again if they are dropped.
-const MAX_WAITING_PIECES: usize = 256;
+/// Updates of one controller that may wait for items; updates that are dropped are sent again.
+const MAX_WAITING_UPDATES: usize = 256;
 
-/// Numbers that a piece stands for, and what it announces that may not be held yet.
+/// An update by its numbers, and the items it announces, which may not be held yet.
 #[derive(Clone, Debug)]
-struct Piece {
+struct PendingUpdate {
     feed: u64,
     from: u64,
     to: u64,
+    /// It starts the stream, with the complete state.
     starts: bool,
-    /// It says something, so that its sender waits for an acknowledgement.
-    acknowledged: bool,
+    /// It contains or announces items, so its sender waits for an acknowledgement.
+    needs_acknowledgement: bool,
     announced: Vec<(Key, Version)>,
 }
 
-impl Piece {
-    fn of(update: &Update) -> Piece {
-        Piece {
+impl PendingUpdate {
+    fn of(update: &Update) -> PendingUpdate {
+        PendingUpdate {
             feed: update.feed,
             from: update.from,
             to: update.to,
             starts: update.full,
-            acknowledged: !update.items.is_empty() || !update.announced.is_empty(),
+            needs_acknowledgement: !update.items.is_empty() || !update.announced.is_empty(),
             announced: update.announced.clone(),
         }
     }
 
     fn is_held(&self, items: &BTreeMap<Key, Item>) -> bool {
-        let held = |(key, version): &(Key, Version)| items.get(key).is_some_and(|it| it.ver >= *version);
+        let held = |(key, version): &(Key, Version)| items.get(key).is_some_and(|item| item.ver >= *version);
         self.announced.iter().all(held)
     }
 }
 
-/// What is held of one controller's updates.
+/// Position in the update stream of one controller.
 #[derive(Clone, Debug, Default)]
-struct Feed {
+struct Stream {
+    /// Id of the stream, as in `Update::feed`.
     id: u64,
-    /// The last number held without a gap.
-    got: u64,
-    waiting: Vec<Piece>,
+    /// The last number up to which there is no gap.
+    held_to: u64,
+    /// Updates that do not follow yet or lack announced items.
+    waiting: Vec<PendingUpdate>,
 }
 
-impl Feed {
-    fn follows(&self, piece: &Piece) -> bool {
-        piece.starts || (piece.feed == self.id && piece.from <= self.got)
+impl Stream {
+    /// Whether the update leaves no gap.
+    fn follows(&self, update: &PendingUpdate) -> bool {
+        update.starts || (update.feed == self.id && update.from <= self.held_to)
     }
 
-    /// The next piece that counts now, if there is one.
-    fn next(&mut self, items: &BTreeMap<Key, Item>) -> Option<Piece> {
-        let at = self.waiting.iter().position(|p| self.follows(p) && p.is_held(items))?;
-        let piece = self.waiting.remove(at);
-        self.got = if piece.feed == self.id { piece.to.max(self.got) } else { piece.to };
-        self.id = piece.feed;
-        let (id, got) = (self.id, self.got);
-        self.waiting.retain(|p| p.starts || (p.feed == id && p.to > got));
-        Some(piece)
+    /// Advances over the next complete update, if there is one.
+    fn advance(&mut self, items: &BTreeMap<Key, Item>) -> Option<PendingUpdate> {
+        let index =
+            self.waiting.iter().position(|pending| self.follows(pending) && pending.is_held(items))?;
+        let update = self.waiting.remove(index);
+        self.held_to = if update.feed == self.id { update.to.max(self.held_to) } else { update.to };
+        self.id = update.feed;
+        let (id, held_to) = (self.id, self.held_to);
+        self.waiting.retain(|pending| pending.starts || (pending.feed == id && pending.to > held_to));
+        Some(update)
     }
 }
 
-/// An acknowledgement that is due.
+/// An acknowledgement to send.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Held {
-    pub by: Addr,
+pub(crate) struct Acknowledgement {
+    pub to: Addr,
     pub feed: u64,
     pub got: u64,
 }
 
-/// What is held of each controller's updates.
+/// Positions in the update streams of all controllers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UpdateStreams {
-    by_controller: BTreeMap<Addr, Feed>,
+    by_controller: BTreeMap<Addr, Stream>,
 }
 
 impl UpdateStreams {
-    /// A controller's feed, and the last number held of it without a gap.
-    pub(crate) fn position(&self, of: &Addr) -> (u64, u64) {
-        self.by_controller.get(of).map_or((0, 0), |f| (f.id, f.got))
+    /// The id of a controller's stream, and the last number up to which there is no gap.
+    pub(crate) fn position(&self, controller: &Addr) -> (u64, u64) {
+        self.by_controller.get(controller).map_or((0, 0), |stream| (stream.id, stream.held_to))
     }
 
-    /// Whether something was announced that is not held.
+    /// Whether there are announced items that are not held.
     pub(crate) fn has_missing_items(&self) -> bool {
-        self.by_controller.values().flat_map(|feed| &feed.waiting).any(|p| !p.announced.is_empty())
+        self.by_controller
+            .values()
+            .flat_map(|stream| &stream.waiting)
+            .any(|pending| !pending.announced.is_empty())
     }
 
-    /// An update came, and its items were taken in.
-    pub(crate) fn take(&mut self, from: Addr, update: &Update) {
-        let feed = self.by_controller.entry(from).or_default();
-        if feed.waiting.len() == MAX_WAITING_PIECES {
-            feed.waiting.remove(0);
+    /// Records an update whose items have been merged.
+    pub(crate) fn record(&mut self, from: Addr, update: &Update) {
+        let stream = self.by_controller.entry(from).or_default();
+        if stream.waiting.len() == MAX_WAITING_UPDATES {
+            stream.waiting.remove(0);
         }
-        feed.waiting.push(Piece::of(update));
+        stream.waiting.push(PendingUpdate::of(update));
     }
 
-    /// What can be acknowledged with these items.
-    pub(crate) fn settle(&mut self, items: &BTreeMap<Key, Item>) -> Vec<Held> {
+    /// Advances all streams over the updates that are complete with these items; returns the
+    /// acknowledgements to send.
+    pub(crate) fn advance_all(&mut self, items: &BTreeMap<Key, Item>) -> Vec<Acknowledgement> {
         let mut due = vec![];
-        for (by, feed) in &mut self.by_controller {
-            let mut said = false;
-            while let Some(piece) = feed.next(items) {
-                said |= piece.acknowledged;
+        for (controller, stream) in &mut self.by_controller {
+            let mut needs_acknowledgement = false;
+            while let Some(update) = stream.advance(items) {
+                needs_acknowledgement |= update.needs_acknowledgement;
             }
-            // Out of order, or of a feed that is over.
-            feed.waiting.retain(|p| !p.announced.is_empty());
-            if said {
-                due.push(Held { by: *by, feed: feed.id, got: feed.got });
+            // Updates that announce nothing and do not follow: out of order, or of an earlier stream.
+            stream.waiting.retain(|pending| !pending.announced.is_empty());
+            if needs_acknowledgement {
+                due.push(Acknowledgement { to: *controller, feed: stream.id, got: stream.held_to });
             }
         }
         due
