--- a/crates/control-state/src/bounded_cache.rs
+++ b/crates/control-state/src/bounded_cache.rs
@@ -1,88 +1,105 @@
-//! A bounded shelf of things that live until a point in time.
+//! A cache of bounded size whose entries expire.
 use primitives::Mono;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// An entry of a `BoundedCache`.
 pub trait BoundedCacheEntry {
+    /// When it expires.
     fn until(&self) -> Mono;
-    /// When it is of no use any more, not even to be compared with what is there now.
+    /// When it is to be dropped; until then an expired entry may still be compared with a new one.
     fn kept(&self) -> Mono {
         self.until()
     }
+    /// Bytes.
     fn size(&self) -> usize;
-    /// Gives way only once all is gone that does not stay.
+    /// Whether it is evicted only after all entries for which this is false.
     fn stays(&self) -> bool {
         true
     }
 }
 
-/// Invariants: the sizes of all on it come to at most `room`; what does not stay goes first,
-/// then what ends soonest; `order` names each thing once.
+/// A cache of bounded size. Invariants: the sizes of all entries add up to at most `capacity`;
+/// entries that do not stay are evicted first, then those that are dropped soonest; `order` has each
+/// key once.
 #[derive(Clone, Debug)]
 pub struct BoundedCache<K, T> {
-    all: BTreeMap<K, T>,
+    entries: BTreeMap<K, T>,
+    /// In order of eviction.
     order: BTreeSet<(bool, Mono, K)>,
     bytes: usize,
-    room: usize,
+    /// Bytes.
+    capacity: usize,
 }
 
 impl<K: Ord + Clone, T: BoundedCacheEntry> BoundedCache<K, T> {
-    pub fn new(room: usize) -> BoundedCache<K, T> {
-        BoundedCache { all: BTreeMap::new(), order: BTreeSet::new(), bytes: 0, room }
+    /// An empty cache for this many bytes.
+    pub fn new(capacity: usize) -> BoundedCache<K, T> {
+        BoundedCache { entries: BTreeMap::new(), order: BTreeSet::new(), bytes: 0, capacity }
     }
 
-    /// Only what is still alive.
-    pub fn get(&self, now: Mono, k: &K) -> Option<&T> {
-        self.all.get(k).filter(|t| t.until() > now)
+    /// The entry, unless it has expired.
+    pub fn get(&self, now: Mono, key: &K) -> Option<&T> {
+        self.entries.get(key).filter(|entry| entry.until() > now)
     }
 
-    /// Alive or not.
-    pub fn peek(&self, k: &K) -> Option<&T> {
-        self.all.get(k)
+    /// The entry, expired or not.
+    pub fn peek(&self, key: &K) -> Option<&T> {
+        self.entries.get(key)
     }
 
-    pub fn put(&mut self, k: K, t: T) {
-        self.remove(&k);
-        self.bytes += t.size();
-        self.order.insert((t.stays(), t.kept(), k.clone()));
-        self.all.insert(k, t);
-        while self.bytes > self.room {
+    /// Stores an entry, and evicts others, or this one, until the size is within bounds.
+    pub fn put(&mut self, key: K, entry: T) {
+        self.remove(&key);
+        self.bytes += entry.size();
+        self.order.insert((entry.stays(), entry.kept(), key.clone()));
+        self.entries.insert(key, entry);
+        while self.bytes > self.capacity {
             let Some((.., first)) = self.order.first().cloned() else { return };
             self.remove(&first);
         }
     }
 
-    fn remove(&mut self, k: &K) {
-        let Some(was) = self.all.remove(k) else { return };
-        self.bytes -= was.size();
-        self.order.remove(&(was.stays(), was.kept(), k.clone()));
+    fn remove(&mut self, key: &K) {
+        let Some(removed) = self.entries.remove(key) else { return };
+        self.bytes -= removed.size();
+        self.order.remove(&(removed.stays(), removed.kept(), key.clone()));
     }
 
-    pub fn drop_where(&mut self, gone: impl Fn(&K, &T) -> bool) {
-        let ks: Vec<K> = self.all.iter().filter(|(k, t)| gone(k, t)).map(|(k, _)| k.clone()).collect();
-        ks.iter().for_each(|k| self.remove(k));
+    /// Removes the entries that satisfy `condition`.
+    pub fn drop_where(&mut self, condition: impl Fn(&K, &T) -> bool) {
+        let keys: Vec<K> = self
+            .entries
+            .iter()
+            .filter(|(key, entry)| condition(key, entry))
+            .map(|(key, _)| key.clone())
+            .collect();
+        keys.iter().for_each(|key| self.remove(key));
     }
 
+    /// Removes the entries that are to be dropped by now; see `BoundedCacheEntry::kept`.
     pub fn drop_old(&mut self, now: Mono) {
-        self.drop_where(|_, t| t.kept() <= now);
+        self.drop_where(|_, entry| entry.kept() <= now);
     }
 
     pub fn clear(&mut self) {
         self.drop_where(|_, _| true);
     }
 
+    /// All entries, expired ones too.
     pub fn values(&self) -> impl Iterator<Item = &T> {
-        self.all.values()
+        self.entries.values()
     }
 
+    /// The sizes of all entries together.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.entries.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.entries.is_empty()
     }
 }
--- a/crates/control-state/src/headers.rs
+++ b/crates/control-state/src/headers.rs
@@ -1,21 +1,21 @@
-//! Header fields on their way through: what passes, and what stays behind.
+//! Header fields, and which of them are forwarded.
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// Fields in the order they came, repeated ones too. Invariant: names are in lower case.
+/// Fields in their original order, including repeated ones. Invariant: names are in lower case.
 #[derive(Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Headers(Vec<(String, Vec<u8>)>);
 
-/// Names only: values may be credentials, which are never logged.
+/// Shows names only: values may be credentials, which must not be logged.
 impl fmt::Debug for Headers {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.debug_list().entries(self.0.iter().map(|(n, _)| n)).finish()
+        f.debug_list().entries(self.0.iter().map(|(name, _)| name)).finish()
     }
 }
 
-/// Between two hops only, or lanewing's own to say.
-const HOP: [&str; 13] = [
+/// Fields that concern one hop only, or that lanewing sets itself.
+const HOP_BY_HOP: [&str; 13] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -30,9 +30,10 @@
     "http2-settings",
     "idempotency-key",
 ];
-/// Who is asking.
+/// Fields that identify the caller.
 const CREDENTIALS: [&str; 2] = ["authorization", "cookie"];
-/// A shared fill wants the whole, plainly, whatever its caller has already.
+/// Left out of a fetch for a shared copy, which needs the complete response without encoding,
+/// whatever the caller holds already.
 const CALLER_PREFERENCES: [&str; 8] = [
     "accept-encoding",
     "if-match",
@@ -45,68 +46,76 @@
 ];
 
 impl Headers {
+    /// Appends a field; its name is converted to lower case.
     pub fn push(&mut self, name: &str, value: impl Into<Vec<u8>>) {
         self.0.push((name.to_ascii_lowercase(), value.into()));
     }
 
+    /// The fields with one more appended.
     pub fn with(mut self, name: &str, value: impl Into<Vec<u8>>) -> Headers {
         self.push(name, value);
         self
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
-        self.0.iter().map(|(n, v)| (n.as_str(), v.as_slice()))
+        self.0.iter().map(|(name, value)| (name.as_str(), value.as_slice()))
     }
 
+    /// The values of all fields of that name, which must be in lower case.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
-        self.iter().filter(move |(n, _)| *n == name).map(|(_, v)| v)
+        self.iter().filter(move |(field, _)| *field == name).map(|(_, value)| value)
     }
 
-    /// The first of that name, as text.
+    /// The first value of that name, if it is UTF-8; the name must be in lower case.
     pub fn get(&self, name: &str) -> Option<&str> {
-        self.iter().find(|(n, _)| *n == name).and_then(|(_, v)| std::str::from_utf8(v).ok())
+        self.iter().find(|(field, _)| *field == name).and_then(|(_, value)| std::str::from_utf8(value).ok())
     }
 
     pub fn has(&self, name: &str) -> bool {
-        self.iter().any(|(n, _)| n == name)
+        self.iter().any(|(field, _)| field == name)
     }
 
+    /// The fields without those whose names satisfy `drop`.
     pub fn without(&self, drop: impl Fn(&str) -> bool) -> Headers {
-        Headers(self.0.iter().filter(|(n, _)| !drop(n)).cloned().collect())
+        Headers(self.0.iter().filter(|(name, _)| !drop(name)).cloned().collect())
     }
 
-    /// What goes on to the other end: not what belongs to one hop, nor what
-    /// `Connection` names as such, nor lanewing's own words.
+    /// The fields to forward: neither hop-by-hop fields, nor those that `Connection` names, nor
+    /// lanewing's own fields.
     pub fn end_to_end(&self) -> Headers {
         let named: Vec<String> = self
             .all("connection")
-            .flat_map(|v| String::from_utf8_lossy(v).to_ascii_lowercase().into_bytes())
+            .flat_map(|value| String::from_utf8_lossy(value).to_ascii_lowercase().into_bytes())
             .collect::<Vec<u8>>()
-            .split(|b| *b == b',')
-            .map(|s| String::from_utf8_lossy(s).trim().to_string())
+            .split(|byte| *byte == b',')
+            .map(|name| String::from_utf8_lossy(name).trim().to_string())
             .collect();
-        self.without(|n| {
-            HOP.contains(&n) || n.starts_with("lanewing-") || named.iter().any(|c| c.as_str() == n)
+        self.without(|name| {
+            HOP_BY_HOP.contains(&name)
+                || name.starts_with("lanewing-")
+                || named.iter().any(|other| other.as_str() == name)
         })
     }
 
-    /// Carries credentials: what is answered may be for this caller alone.
+    /// Whether there are credentials: the response may be for this caller alone.
     pub fn personal(&self) -> bool {
-        CREDENTIALS.iter().any(|c| self.has(c))
+        CREDENTIALS.iter().any(|name| self.has(name))
     }
 
-    /// As a fill sends them that is made for whoever asks.
+    /// The fields of a fetch for a copy that is shared between callers.
     pub fn for_shared_fetch(&self) -> Headers {
-        self.without(|n| CALLER_PREFERENCES.contains(&n) || CREDENTIALS.contains(&n))
+        self.without(|name| CALLER_PREFERENCES.contains(&name) || CREDENTIALS.contains(&name))
     }
 
+    /// Bytes of all fields, with four each for separators.
     pub fn bytes(&self) -> usize {
-        self.0.iter().map(|(n, v)| n.len() + v.len() + 4).sum()
+        self.0.iter().map(|(name, value)| name.len() + value.len() + 4).sum()
     }
 }
 
-/// What a keyed request was, and whose: the same key is the same request only if
-/// these agree. A strong digest, so that nobody can make another's.
+/// Digest of a keyed request and its credentials: requests with the same key are the same request
+/// only if these agree. A cryptographic hash, so that nobody can construct a request with the digest
+/// of another.
 #[derive(Copy, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(pub [u8; 32]);
 
@@ -117,16 +126,18 @@
 }
 
 impl Fingerprint {
+    /// The digest of method, path, body and credentials.
     pub fn of(method: &str, path: &str, heads: &Headers, body: &[u8]) -> Fingerprint {
-        let who = CREDENTIALS.iter().flat_map(|c| heads.all(c).map(|v| (c.as_bytes(), v)));
-        let who: Vec<&[u8]> = who.flat_map(|(c, v)| [c, v]).collect();
-        let parts = [method.as_bytes(), path.as_bytes(), body].into_iter().chain(who);
-        let mut h = Sha256::new();
-        for p in parts {
-            // Lengths first, so that no two lists of parts read the same.
-            h.update((p.len() as u64).to_le_bytes());
-            h.update(p);
+        let credentials =
+            CREDENTIALS.iter().flat_map(|name| heads.all(name).map(|value| (name.as_bytes(), value)));
+        let credentials: Vec<&[u8]> = credentials.flat_map(|(name, value)| [name, value]).collect();
+        let parts = [method.as_bytes(), path.as_bytes(), body].into_iter().chain(credentials);
+        let mut hasher = Sha256::new();
+        for part in parts {
+            // Each part after its length, so that two lists of parts never give the same bytes.
+            hasher.update((part.len() as u64).to_le_bytes());
+            hasher.update(part);
         }
-        Fingerprint(h.finalize().into())
+        Fingerprint(hasher.finalize().into())
     }
 }
--- a/crates/control-state/src/holders.rs
+++ b/crates/control-state/src/holders.rs
@@ -1,17 +1,18 @@
-//! Which disks hold the outcome of a key.
+//! Which disks hold the outcome of a keyed request.
 //!
-//! The list is one of the fields of the outcome's answer, so that it travels and is stored with it,
-//! and versions of the product that do not know it pass it on unchanged. It never reaches a caller.
+//! The list is a header field of the stored response, so that it is sent and stored with it, and
+//! versions of the product that do not know it forward it unchanged. It is never sent to a caller.
 use crate::items::*;
 use crate::roll::Roll;
 use crate::whole::Whole;
 use primitives::{Addr, Birth, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Entries `address@birth`, the birth in hexadecimal, parted by spaces.
-const HOLDERS: &str = "lanewing-holders";
+/// Name of the field. Its entries are `address@birth`, with the birth in hexadecimal, separated by
+/// spaces.
+const HOLDERS_FIELD: &str = "lanewing-holders";
 
-/// A ledger, and the life of its disk: another disk at that address has lost what this one held.
+/// A ledger and the incarnation of its disk: another disk at that address has lost what this one held.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Holder {
     pub addr: Addr,
@@ -27,32 +28,32 @@
 }
 
 impl Whole {
-    /// The disks that hold this outcome, as far as its sender knew; none where it was not said.
+    /// The disks that hold this outcome, as far as its sender knew; empty if there is no list.
     pub fn holders(&self) -> Vec<Holder> {
-        let list = self.heads.get(HOLDERS).unwrap_or_default();
+        let list = self.heads.get(HOLDERS_FIELD).unwrap_or_default();
         list.split_ascii_whitespace().filter_map(Holder::parse).collect()
     }
 
-    /// The same outcome, held by these.
+    /// The same outcome with this list of holders.
     pub fn with_holders(&self, holders: &[Holder]) -> Whole {
-        let one = |h: &Holder| format!("{}@{:x}", h.addr, h.birth.0);
-        let list: Vec<String> = holders.iter().map(one).collect();
-        Whole { heads: self.without_holders().heads.with(HOLDERS, list.join(" ")), ..self.clone() }
+        let entry = |holder: &Holder| format!("{}@{:x}", holder.addr, holder.birth.0);
+        let entries: Vec<String> = holders.iter().map(entry).collect();
+        Whole { heads: self.without_holders().heads.with(HOLDERS_FIELD, entries.join(" ")), ..self.clone() }
     }
 
-    /// As it is handed to callers.
+    /// The same outcome as it is sent to callers.
     pub fn without_holders(&self) -> Whole {
-        Whole { heads: self.heads.without(|name| name == HOLDERS), ..self.clone() }
+        Whole { heads: self.heads.without(|name| name == HOLDERS_FIELD), ..self.clone() }
     }
 }
 
-/// The ledgers that have a place in the roll, each with the life of the disk it has now.
+/// The ledgers in the ledger sets, each with the current incarnation of its disk.
 pub fn current_ledgers(items: &BTreeMap<Key, Item>) -> BTreeMap<Addr, Birth> {
-    let seated: BTreeSet<Addr> = Roll::of(items).seats().map(|s| s.addr).collect();
+    let in_sets: BTreeSet<Addr> = Roll::of(items).seats().map(|slot| slot.addr).collect();
     let nodes = items.range(Key::Node(NodeId(0))..=Key::Node(NodeId(u64::MAX)));
-    let ledgers = nodes.filter_map(|(_, item)| match &item.body {
-        Some(Body::Node(n)) if n.role == Role::Ledger => Some((n.addr, n.birth)),
+    let registered = nodes.filter_map(|(_, item)| match &item.body {
+        Some(Body::Node(node)) if node.role == Role::Ledger => Some((node.addr, node.birth)),
         _ => None,
     });
-    ledgers.filter(|(addr, _)| seated.contains(addr)).collect()
+    registered.filter(|(addr, _)| in_sets.contains(addr)).collect()
 }
--- a/crates/control-state/src/json.rs
+++ b/crates/control-state/src/json.rs
@@ -1,4 +1,4 @@
-//! The control state as JSON, for operators.
+//! The control state as JSON, for operators, and helpers to build JSON values.
 use crate::configuration::PurgeBy;
 use crate::items::*;
 use crate::roll::Seat;
@@ -8,25 +8,31 @@
 use std::collections::HashMap;
 use tinyjson::JsonValue;
 
+/// A JSON object.
 pub fn obj(fields: Vec<(&str, JsonValue)>) -> JsonValue {
-    let m: HashMap<String, JsonValue> = fields.into_iter().map(|(k, v)| (k.to_string(), v)).collect();
-    JsonValue::from(m)
+    let members: HashMap<String, JsonValue> =
+        fields.into_iter().map(|(name, value)| (name.to_string(), value)).collect();
+    JsonValue::from(members)
 }
 
-pub fn text(s: impl ToString) -> JsonValue {
-    JsonValue::from(s.to_string())
+/// A JSON string.
+pub fn text(value: impl ToString) -> JsonValue {
+    JsonValue::from(value.to_string())
 }
 
+/// A JSON number; exact up to 2^53.
 pub fn num(n: u64) -> JsonValue {
     JsonValue::from(n as f64)
 }
 
-pub fn list(v: Vec<JsonValue>) -> JsonValue {
-    JsonValue::from(v)
+/// A JSON array.
+pub fn list(values: Vec<JsonValue>) -> JsonValue {
+    JsonValue::from(values)
 }
 
-pub fn kind_name(k: Kind) -> &'static str {
-    match k {
+/// The name of a kind in requests and answers of the HTTP interface.
+pub fn kind_name(kind: Kind) -> &'static str {
+    match kind {
         Kind::Read => "read",
         Kind::Plain => "plain",
         Kind::Once => "once",
@@ -34,104 +40,114 @@
     }
 }
 
-fn standing(s: Standing) -> JsonValue {
-    text(if s == Standing::Serving { "serving" } else { "leaving" })
+fn standing_json(standing: Standing) -> JsonValue {
+    text(if standing == Standing::Serving { "serving" } else { "leaving" })
 }
 
-pub fn item_json(k: &Key, it: &Item) -> JsonValue {
-    let mut f = vec![("version", num(it.ver.0))];
-    match k {
-        Key::Row(l, s) => f.extend([("lane", text(l)), ("service", text(s))]),
-        Key::Origin(a) => f.push(("address", text(a))),
-        Key::Node(n) => f.push(("node", num(n.0))),
-        Key::Roll => f.push(("roll", text("ledger"))),
-        Key::Entry(_, n) => f.push(("name", text(n))),
-        Key::PurgeBy(PurgeBy::Page(h, p)) => f.extend([("host", text(h)), ("path", text(p))]),
-        Key::PurgeBy(PurgeBy::Tag(t)) => f.push(("tag", text(t))),
-        Key::Purge(s, p) => f.extend([("service", text(s)), ("prefix", text(p))]),
+/// An item with its key and version; a tombstone has `deleted`.
+pub fn item_json(key: &Key, item: &Item) -> JsonValue {
+    let mut fields = vec![("version", num(item.ver.0))];
+    match key {
+        Key::Row(route, service) => fields.extend([("lane", text(route)), ("service", text(service))]),
+        Key::Origin(addr) => fields.push(("address", text(addr))),
+        Key::Node(id) => fields.push(("node", num(id.0))),
+        Key::Roll => fields.push(("roll", text("ledger"))),
+        Key::Entry(_, name) => fields.push(("name", text(name))),
+        Key::PurgeBy(PurgeBy::Page(host, path)) => {
+            fields.extend([("host", text(host)), ("path", text(path))])
+        }
+        Key::PurgeBy(PurgeBy::Tag(tag)) => fields.push(("tag", text(tag))),
+        Key::Purge(service, prefix) => fields.extend([("service", text(service)), ("prefix", text(prefix))]),
     }
-    match &it.body {
-        None => f.push(("deleted", JsonValue::from(true))),
-        Some(Body::Row(r)) => f.extend([
-            ("weight", num(r.weight as u64)),
-            ("ceiling", num(r.ceiling as u64)),
-            ("rank", num(r.rank as u64)),
-            ("kind", text(kind_name(r.kind))),
-            ("ttl_ms", num(r.ttl.as_ms())),
+    match &item.body {
+        None => fields.push(("deleted", JsonValue::from(true))),
+        Some(Body::Row(row)) => fields.extend([
+            ("weight", num(row.weight as u64)),
+            ("ceiling", num(row.ceiling as u64)),
+            ("rank", num(row.rank as u64)),
+            ("kind", text(kind_name(row.kind))),
+            ("ttl_ms", num(row.ttl.as_ms())),
         ]),
-        Some(Body::Origin(o)) => f.extend([
-            ("service", text(&o.svc)),
-            ("birth", text(o.birth)),
-            ("zone", text(&o.zone)),
-            ("cap", num(o.cap as u64)),
-            ("standing", standing(o.standing)),
+        Some(Body::Origin(origin)) => fields.extend([
+            ("service", text(&origin.svc)),
+            ("birth", text(origin.birth)),
+            ("zone", text(&origin.zone)),
+            ("cap", num(origin.cap as u64)),
+            ("standing", standing_json(origin.standing)),
         ]),
-        Some(Body::Node(n)) => f.extend([
-            ("role", text(format!("{:?}", n.role).to_lowercase())),
-            ("cohort", text(n.addr)),
-            ("http", text(n.http)),
-            ("zone", text(&n.zone)),
-            ("birth", text(n.birth)),
-            ("standing", standing(n.standing)),
+        Some(Body::Node(node)) => fields.extend([
+            ("role", text(format!("{:?}", node.role).to_lowercase())),
+            ("cohort", text(node.addr)),
+            ("http", text(node.http)),
+            ("zone", text(&node.zone)),
+            ("birth", text(node.birth)),
+            ("standing", standing_json(node.standing)),
         ]),
-        Some(Body::Roll(r)) => f.push(("sets", list(r.sets.iter().map(|s| show_seats(s)).collect()))),
-        Some(Body::Lane(l)) => f.push(("lane", text(&l.said))),
-        Some(Body::Service(s)) => f.push(("service", text(&s.said))),
-        Some(Body::Limits(l)) => f.push(("limits", text(&l.said))),
+        Some(Body::Roll(roll)) => {
+            fields.push(("sets", list(roll.sets.iter().map(|set| slots_json(set)).collect())))
+        }
+        Some(Body::Lane(route)) => fields.push(("lane", text(&route.said))),
+        Some(Body::Service(service)) => fields.push(("service", text(&service.said))),
+        Some(Body::Limits(limits)) => fields.push(("limits", text(&limits.said))),
         Some(Body::Purge) => (),
     }
-    obj(f)
+    obj(fields)
 }
 
-fn show_seats(s: &[Seat]) -> JsonValue {
-    list(s.iter().map(|s| obj(vec![("node", num(s.id.0)), ("cohort", text(s.addr))])).collect())
+fn slots_json(set: &[Seat]) -> JsonValue {
+    list(set.iter().map(|slot| obj(vec![("node", num(slot.id.0)), ("cohort", text(slot.addr))])).collect())
 }
 
-/// The live items of one sort, or with `all` the tombstones too.
-pub fn show_items(p: &ControlState, all: bool, want: fn(&Key) -> bool) -> JsonValue {
-    let live = p.items.iter().filter(|(k, it)| want(k) && (all || it.body.is_some()));
-    list(live.map(|(k, it)| item_json(k, it)).collect())
+/// The existing items whose keys satisfy `want`; with `all` also the tombstones.
+pub fn show_items(state: &ControlState, all: bool, want: fn(&Key) -> bool) -> JsonValue {
+    let selected = state.items.iter().filter(|(key, item)| want(key) && (all || item.body.is_some()));
+    list(selected.map(|(key, item)| item_json(key, item)).collect())
 }
 
-pub fn members_json(p: &ControlState) -> JsonValue {
-    let one = |m: &Member| {
+/// The current controllers.
+pub fn members_json(state: &ControlState) -> JsonValue {
+    let member_json = |member: &Member| {
         obj(vec![
-            ("controller", num(m.member_id.0 as u64)),
-            ("cohort", text(m.addr)),
-            ("http", text(m.http)),
-            ("zone", text(&m.zone)),
+            ("controller", num(member.member_id.0 as u64)),
+            ("cohort", text(member.addr)),
+            ("http", text(member.http)),
+            ("zone", text(&member.zone)),
         ])
     };
-    list(p.members.iter().map(one).collect())
+    list(state.members.iter().map(member_json).collect())
 }
 
-pub fn heartbeats_json(beats: &[(OriginHeartbeat, Span)]) -> JsonValue {
-    let one = |(b, age): &(OriginHeartbeat, Span)| {
+/// Heartbeats of origins, with their ages.
+pub fn heartbeats_json(heartbeats: &[(OriginHeartbeat, Span)]) -> JsonValue {
+    let heartbeat_json = |(heartbeat, age): &(OriginHeartbeat, Span)| {
         obj(vec![
-            ("service", text(&b.svc)),
-            ("address", text(b.addr)),
-            ("zone", text(&b.zone)),
-            ("mood", text(format!("{:?}", b.mood).to_lowercase())),
-            ("occupancy", num(b.occupancy as u64)),
-            ("cap", num(b.cap as u64)),
+            ("service", text(&heartbeat.svc)),
+            ("address", text(heartbeat.addr)),
+            ("zone", text(&heartbeat.zone)),
+            ("mood", text(format!("{:?}", heartbeat.mood).to_lowercase())),
+            ("occupancy", num(heartbeat.occupancy as u64)),
+            ("cap", num(heartbeat.cap as u64)),
             ("age_ms", num(age.as_ms())),
         ])
     };
-    list(beats.iter().map(one).collect())
+    list(heartbeats.iter().map(heartbeat_json).collect())
 }
 
-pub fn verdict_json(v: &Verdict) -> JsonValue {
-    match v {
-        Verdict::Done(ks) => {
-            let one = |(k, v): &(Key, primitives::Version)| {
-                item_json(k, &Item { ver: *v, body: Some(Body::Purge) })
+/// The result of a change: the changed keys, or the problem.
+pub fn verdict_json(verdict: &Verdict) -> JsonValue {
+    match verdict {
+        Verdict::Done(changed) => {
+            let changed_json = |(key, version): &(Key, primitives::Version)| {
+                item_json(key, &Item { ver: *version, body: Some(Body::Purge) })
             };
-            obj(vec![("done", list(ks.iter().map(one).collect()))])
+            obj(vec![("done", list(changed.iter().map(changed_json).collect()))])
+        }
+        Verdict::Stale(key, current) => {
+            obj(vec![("problem", text("stale")), ("current", item_json(key, current))])
         }
-        Verdict::Stale(k, it) => obj(vec![("problem", text("stale")), ("current", item_json(k, it))]),
-        Verdict::InvalidEdit(w) => obj(vec![("problem", text("invalid")), ("reason", text(w))]),
-        Verdict::Conflict(c) => obj(vec![("problem", text("conflict")), ("reason", text(c))]),
-        Verdict::Forgotten(c) => obj(vec![("problem", text("forgotten")), ("reason", text(c))]),
-        Verdict::Void(w) => obj(vec![("problem", text(format!("{w:?}")))]),
+        Verdict::InvalidEdit(reason) => obj(vec![("problem", text("invalid")), ("reason", text(reason))]),
+        Verdict::Conflict(number) => obj(vec![("problem", text("conflict")), ("reason", text(number))]),
+        Verdict::Forgotten(number) => obj(vec![("problem", text("forgotten")), ("reason", text(number))]),
+        Verdict::Void(reason) => obj(vec![("problem", text(format!("{reason:?}")))]),
     }
 }
--- a/crates/control-state/src/report.rs
+++ b/crates/control-state/src/report.rs
@@ -1,37 +1,38 @@
-//! What a part tells its operators about a call that took long or got no clear answer.
+//! Reports for operators on calls that were slow or got no definite answer.
 use primitives::{Addr, Span};
 use std::fmt;
 
-/// Calls that are answered faster are not reported.
+/// Calls that are answered within this time are not reported.
 pub const SLOW_CALL: Span = Span::ms(400);
 
 /// How one controller answered a forwarded call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Attempt {
-    /// Asked, not answered so far.
+    /// No answer so far.
     Silent,
-    /// "Not now", with the controller's reason.
+    /// It could not answer, with its reason.
     Declined(String),
-    /// The answer that was passed on.
+    /// Its answer was returned to the caller.
     Answered,
 }
 
-/// One controller that a call was forwarded to.
+/// The forwarding of a call to one controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ForwardAttempt {
     pub to: Addr,
-    /// From the call's begin to its sending, and from there to the answer.
+    /// From the start of the call until it was sent to this controller.
     pub after: Span,
+    /// From then until the answer.
     pub took: Option<Span>,
     pub result: Attempt,
 }
 
-/// Something worth a line in the log.
+/// A report to be logged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Report {
-    /// An edge forwarded a call, and it was slow or found no answer in time.
+    /// A call that an edge forwarded was slow or got no definite answer in time.
     ForwardedCall { what: &'static str, clear: bool, took: Span, attempts: Vec<ForwardAttempt> },
-    /// A controller took long over a reading, or could not answer it.
+    /// A controller was slow to answer a read of the state, or could not answer it.
     Reading { outcome: &'static str, took: Span },
 }
 
@@ -53,7 +54,7 @@
             Report::ForwardedCall { what, clear, took, attempts } => {
                 let end = if *clear { "answered" } else { "no clear answer" };
                 write!(f, "{what}: {end} after {} ms", took.as_ms())?;
-                attempts.iter().try_for_each(|a| write!(f, "; {a}"))
+                attempts.iter().try_for_each(|attempt| write!(f, "; {attempt}"))
             }
             Report::Reading { outcome, took } => write!(f, "reading {outcome} after {} ms", took.as_ms()),
         }
--- a/crates/control-state/src/standby_origins.rs
+++ b/crates/control-state/src/standby_origins.rs
@@ -1,31 +1,35 @@
-//! Which origin stands in for which.
+//! Which origin is the standby of which.
 use crate::items::*;
 use crate::json::{list, obj, text};
 use crate::state::ControlState;
 use primitives::Addr;
 use tinyjson::JsonValue;
 
-/// The understudy of an origin: ranked by hash, another zone preferred. The
+/// The standby of an origin among `all`: the first by rank of hashes, if possible in another zone. The
 /// same at every edge.
 pub fn understudy(of: &Addr, all: &[(Addr, Origin)]) -> Option<(Addr, Origin)> {
-    let zone = all.iter().find(|(a, _)| a == of).map(|(_, o)| o.zone.clone());
-    let others: Vec<_> = all.iter().filter(|(a, _)| a != of).cloned().collect();
-    let ranked = primitives::rank(&("understudy", of), &others, |(a, _)| primitives::hash(a));
-    let far = ranked.iter().find(|(_, o)| Some(&o.zone) != zone.as_ref()).cloned();
-    far.or_else(|| ranked.into_iter().next())
+    let zone = all.iter().find(|(addr, _)| addr == of).map(|(_, origin)| origin.zone.clone());
+    let others: Vec<_> = all.iter().filter(|(addr, _)| addr != of).cloned().collect();
+    let ranked = primitives::rank(&("understudy", of), &others, |(addr, _)| primitives::hash(addr));
+    let other_zone = ranked.iter().find(|(_, origin)| Some(&origin.zone) != zone.as_ref()).cloned();
+    other_zone.or_else(|| ranked.into_iter().next())
 }
 
-/// Every serving origin with its understudy, as operators see it.
-pub fn standby_origins_json(p: &ControlState) -> JsonValue {
-    let live = |(k, it): (&Key, &Item)| match (k, &it.body) {
-        (Key::Origin(a), Some(Body::Origin(o))) if o.standing == Standing::Serving => Some((*a, o.clone())),
+/// Each serving origin with its standby, for operators.
+pub fn standby_origins_json(state: &ControlState) -> JsonValue {
+    let serving = |(key, item): (&Key, &Item)| match (key, &item.body) {
+        (Key::Origin(addr), Some(Body::Origin(origin))) if origin.standing == Standing::Serving => {
+            Some((*addr, origin.clone()))
+        }
         _ => None,
     };
-    let all: Vec<(Addr, Origin)> = p.items.iter().filter_map(live).collect();
-    let like = |svc: &Svc| all.iter().filter(|(_, o)| o.svc == *svc).cloned().collect::<Vec<_>>();
-    let pair = |(a, o): &(Addr, Origin)| {
-        let under = understudy(a, &like(&o.svc)).map_or("none".to_string(), |u| u.0.to_string());
-        obj(vec![("service", text(&o.svc)), ("origin", text(a)), ("understudy", text(under))])
+    let origins: Vec<(Addr, Origin)> = state.items.iter().filter_map(serving).collect();
+    let of_service =
+        |svc: &Svc| origins.iter().filter(|(_, origin)| origin.svc == *svc).cloned().collect::<Vec<_>>();
+    let standby_json = |(addr, origin): &(Addr, Origin)| {
+        let standby =
+            understudy(addr, &of_service(&origin.svc)).map_or("none".to_string(), |u| u.0.to_string());
+        obj(vec![("service", text(&origin.svc)), ("origin", text(addr)), ("understudy", text(standby))])
     };
-    list(all.iter().map(pair).collect())
+    list(origins.iter().map(standby_json).collect())
 }
--- a/crates/control-state/src/stored_node.rs
+++ b/crates/control-state/src/stored_node.rs
@@ -1,14 +1,14 @@
-//! A node as it is written to disk and sent. Nodes used to have no capacity: what was written
-//! then is still read.
+//! The encoding of a node on disk and in messages. Nodes of earlier versions had no capacity; their
+//! encoding can still be read.
 use crate::items::{Node, Role, Standing, Zone};
 use primitives::{Addr, Birth};
 use serde::{Deserialize, Serialize};
 
-/// Of a node that was written without one.
+/// The capacity of a node that was stored without one.
 const UNKNOWN_CAPACITY: u32 = 1;
 
-/// Invariant: fields are in the order in which they were always written, and variants are only
-/// ever added at the end.
+/// The encoded form. Invariant: the order of fields never changes, and variants are only added at the
+/// end.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct StoredNode {
     role: Role,
@@ -19,6 +19,7 @@
     standing: StoredStanding,
 }
 
+/// The standing, in current versions with the capacity.
 #[derive(Serialize, Deserialize)]
 enum StoredStanding {
     Serving,
--- a/crates/control-state/src/whole.rs
+++ b/crates/control-state/src/whole.rs
@@ -1,4 +1,4 @@
-//! A whole answer as it came from an origin.
+//! A complete response of an origin, and digests of content.
 use crate::headers::Headers;
 use base64::prelude::{Engine, BASE64_STANDARD};
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Room in memory that is given back once nobody holds this any more.
+/// A reservation of memory, released when its last clone is dropped.
 #[derive(Clone, Default)]
 pub struct MemoryHold(pub Option<Arc<dyn Any + Send + Sync>>);
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// Says nothing of the answer itself.
+/// Always equal: a reservation is not part of the response.
 impl PartialEq for MemoryHold {
     fn eq(&self, _: &MemoryHold) -> bool {
         true
@@ -25,7 +25,7 @@
 }
 impl Eq for MemoryHold {}
 
-/// Invariant: `heads` are end-to-end only, and the body is all there was.
+/// A complete response. Invariant: `heads` has only end-to-end fields, and the body is complete.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Whole {
     pub status: u16,
@@ -41,38 +41,39 @@
         Whole { status, heads, body: Arc::new(body), hold: MemoryHold::default() }
     }
 
-    /// To be kept where another account bounds the memory.
+    /// A copy without its reservation, to be stored where memory is limited by other means.
     pub fn kept(&self) -> Whole {
         Whole { hold: MemoryHold::default(), ..self.clone() }
     }
 
+    /// Bytes of body and header fields.
     pub fn size(&self) -> usize {
         self.body.len() + self.heads.bytes()
     }
 }
 
-/// Every digest given of a sort we can reckon must agree.
+/// Whether all digests in the field agree; digests of unsupported algorithms are ignored.
 fn digest_agrees(field: Option<&str>, body: &[u8]) -> bool {
-    let mine = |name: &str| match name {
+    let expected = |name: &str| match name {
         "sha-256" => Some(BASE64_STANDARD.encode(Sha256::digest(body))),
         "sha-512" => Some(BASE64_STANDARD.encode(Sha512::digest(body))),
         _ => None,
     };
-    let one = |d: &str| {
-        let (name, v) = d.trim().split_once('=').unwrap_or((d, ""));
-        mine(&name.to_ascii_lowercase()).is_none_or(|m| v == format!(":{m}:"))
+    let agrees = |entry: &str| {
+        let (name, value) = entry.trim().split_once('=').unwrap_or((entry, ""));
+        expected(&name.to_ascii_lowercase()).is_none_or(|digest| value == format!(":{digest}:"))
     };
-    field.is_none_or(|f| f.split(',').all(one))
+    field.is_none_or(|f| f.split(',').all(agrees))
 }
 
-/// Whether these bytes are what their origin's fields say of them.
+/// Whether the body agrees with the digests in the header fields.
 pub fn content_digests_match(heads: &Headers, status: u16, body: &[u8]) -> bool {
-    // A part's digest of the whole cannot be reckoned here.
+    // The digest of the representation cannot be checked against a part of it.
     let repr = heads.get("repr-digest").filter(|_| status == 200);
     digest_agrees(heads.get("content-digest"), body) && digest_agrees(repr, body)
 }
 
-/// As `Content-Digest` has it.
+/// The SHA-256 digest in the format of `Content-Digest`.
 pub fn digest(body: &[u8]) -> String {
     format!("sha-256=:{}:", BASE64_STANDARD.encode(Sha256::digest(body)))
 }
