--- a/crates/control-state/src/ceiling_share.rs
+++ b/crates/control-state/src/ceiling_share.rs
@@ -31,13 +31,13 @@
         self.ceiling.is_infinite()
     }
 
-    fn of(ceiling: f64, sharers: usize) -> Share {
+    fn of(limit: f64, sharers: usize) -> Share {
         // Each sharing edge may burst by one request. If these bursts alone exceed a twentieth of what
         // the ceiling allows in five seconds, there are only borrowed tokens.
-        if sharers as f64 <= 0.25 * ceiling {
-            Share { ceiling, own: OWN_PART * ceiling, lent: BORROWED_PART * ceiling }
+        if sharers as f64 <= 0.25 * limit {
+            Share { ceiling: limit, own: OWN_PART * limit, lent: BORROWED_PART * limit }
         } else {
-            Share { ceiling, own: 0.0, lent: (OWN_PART + BORROWED_PART) * ceiling }
+            Share { ceiling: limit, own: 0.0, lent: (OWN_PART + BORROWED_PART) * limit }
         }
     }
 }
--- a/crates/control-state/src/configuration.rs
+++ b/crates/control-state/src/configuration.rs
@@ -155,6 +155,7 @@
         EntryNumber { section: self.section, name: self.name.clone(), ver: self.ver }
     }
 
+    /// Key of the entry that it changes.
     pub fn key(&self) -> Key {
         Key::Entry(self.section, self.name.clone())
     }
--- a/crates/control-state/src/parse.rs
+++ b/crates/control-state/src/parse.rs
@@ -59,14 +59,14 @@
     let ops = ["row", "delete", "purge", "drain_node", "remove_node"];
     json.only(&[&["id"], &ops[..]].concat())?;
     let id = json.field("id")?.name()?;
-    let mut named = vec![];
+    let mut present = vec![];
     for name in ops {
-        named.extend(json.opt(name)?.map(|field| (name, field)));
+        present.extend(json.opt(name)?.map(|field| (name, field)));
     }
-    if named.len() != 1 {
+    if present.len() != 1 {
         return json.bad(Reason::Not { what: "one of row, delete, purge, drain_node, remove_node" });
     }
-    let (name, field) = &named[0];
+    let (name, field) = &present[0];
     let op = match *name {
         "row" => {
             field.only(&ROW_FIELDS)?;
@@ -95,10 +95,10 @@
     }
     let parse_scope = |scope: &Look| {
         scope.only(&["service", "prefix"])?;
-        let field = scope.field("prefix")?;
-        let prefix = field.text()?;
+        let prefix_field = scope.field("prefix")?;
+        let prefix = prefix_field.text()?;
         if prefix.len() > MAX_PREFIX_BYTES {
-            return field.bad(Reason::Not { what: "a text of at most 256 bytes" });
+            return prefix_field.bad(Reason::Not { what: "a text of at most 256 bytes" });
         }
         Ok((svc(scope)?, prefix))
     };
--- a/crates/control-state/src/part.rs
+++ b/crates/control-state/src/part.rs
@@ -68,13 +68,20 @@
 /// Why a request is denied; no part of it was or will be sent to an origin.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Denied {
+    /// No route matches.
     NoLane,
+    /// The route requires an idempotency key.
     NoKey,
+    /// The key was used before with a different request.
     KeyReused,
     BadMethod,
+    /// This node may not serve: it holds no lease.
     NoLease,
+    /// No origin is available.
     NoOrigin,
+    /// The ceiling of the service is reached.
     Ceiling,
+    /// Several attempts for the key competed and none got a quorum of grants.
     SplitVote,
     Leaving,
     TooMany,
--- a/crates/control-state/src/state.rs
+++ b/crates/control-state/src/state.rs
@@ -165,6 +165,7 @@
         self.items.keys().any(|key| matches!(key, Key::Row(..) | Key::Entry(..)))
     }
 
+    /// The origin registered at this address.
     pub fn origin(&self, addr: &primitives::Addr) -> Option<&Origin> {
         match self.items.get(&Key::Origin(*addr))?.body.as_ref()? {
             Body::Origin(origin) => Some(origin),
@@ -172,6 +173,7 @@
         }
     }
 
+    /// The registered edge or ledger with this id.
     pub fn node(&self, id: &primitives::NodeId) -> Option<&Node> {
         match self.items.get(&Key::Node(*id))?.body.as_ref()? {
             Body::Node(node) => Some(node),
@@ -179,6 +181,7 @@
         }
     }
 
+    /// The controller with this id in the current membership.
     pub fn member(&self, member_id: caesar::MemberId) -> Option<&Member> {
         self.members.iter().find(|m| m.member_id == member_id)
     }
