--- a/crates/control-state/src/part.rs
+++ b/crates/control-state/src/part.rs
@@ -74,16 +74,19 @@
     NoKey,
     /// The key was used before with a different request.
     KeyReused,
+    /// The route does not accept the method.
     BadMethod,
-    /// This node may not serve: it holds no lease.
+    /// The node holds no lease.
     NoLease,
-    /// No origin is available.
+    /// No service or no origin is available.
     NoOrigin,
-    /// The ceiling of the service is reached.
+    /// The ceiling of the service, or the queue for it, leaves no time for the request.
     Ceiling,
-    /// Several attempts for the key competed and none got a quorum of grants.
+    /// The attempt got no quorum of grants for the key in time.
     SplitVote,
+    /// The node is leaving.
     Leaving,
+    /// The node has too many requests in flight.
     TooMany,
     /// Another attempt for the key is in progress, or its outcome is not known.
     KeyAtWork,
