--- a/crates/control-state/src/cache_messages.rs
+++ b/crates/control-state/src/cache_messages.rs
@@ -40,18 +40,16 @@
 /// The answer to a query for a cached copy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CopyReply {
+    /// The copy.
     Got(Box<TransferredCopy>),
     /// The copy that the sender of the query holds is still current; its remaining time-to-live and
     /// its age.
-    Same {
-        left: Span,
-        current_age: Span,
-    },
+    Same { left: Span, current_age: Span },
     /// No copy can be obtained here.
     None,
     /// This edge is disconnected, perhaps only for a moment: query others meanwhile.
     TemporarilyUnavailable,
-    /// The ceiling of the origin's service is exhausted: no other edge shall send it this request.
+    /// The ceiling of the origin's service is exhausted: no other edge should send it this request either.
     AtCeiling,
     /// A final response that lanewing generated itself.
     Own(Box<Whole>),
--- a/crates/control-state/src/command.rs
+++ b/crates/control-state/src/command.rs
@@ -13,39 +13,36 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Op {
     /// Sets one cell, or without a row deletes it, if it still has the expected version.
-    Row {
-        lane: Lane,
-        svc: Svc,
-        expect: Version,
-        row: Option<Row>,
-    },
+    Row { lane: Lane, svc: Svc, expect: Version, row: Option<Row> },
+    /// Registers an origin, or a new incarnation of one.
     Register(Addr, Origin),
+    /// Marks an origin as leaving.
     Drain(Addr, Birth),
+    /// Removes an origin, for example one that is silent; it may register again.
     Remove(Addr, Birth),
     /// Deregistration by the origin itself: this incarnation is never registered again, whichever
     /// of its heartbeats are still in transit.
     SignOff(Addr, Birth),
     /// The same for an incarnation of which the proposer knows only the name that it gives itself.
     SignOffName(String),
+    /// Registers an edge or ledger.
     Join(NodeId, Node),
+    /// Marks a node as leaving.
     DrainNode(NodeId),
+    /// Removes a node.
     RemoveNode(NodeId),
+    /// Purges cached copies by service and path prefix.
     Purge(Vec<(Svc, String)>),
+    /// Purges cached copies by page or tag.
     PurgeBy(Vec<PurgeBy>),
     /// Edits of the configuration, valid or refused as a whole.
     Edit(Vec<Edit>),
     /// Adds a newer ledger set beside the current one. Repeating the same set only gives it a new
     /// version, from which its time in force is counted.
-    Seats {
-        expect: Version,
-        next: Vec<Seat>,
-    },
+    Seats { expect: Version, next: Vec<Seat> },
     /// Removes the older ledger set, which is not needed any more. `early`: without waiting, if no
     /// row ever existed.
-    Settle {
-        expect: Version,
-        early: bool,
-    },
+    Settle { expect: Version, early: bool },
 }
 
 /// A change of the control state.
@@ -59,6 +56,7 @@
 /// A command of the agreement between controllers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Cmd {
+    /// Has no effect and conflicts with nothing.
     Noop,
     /// Usually one change; batchable changes that arrive together form one command.
     Changes(Arc<Vec<Change>>),
--- a/crates/control-state/src/message.rs
+++ b/crates/control-state/src/message.rs
@@ -29,7 +29,8 @@
     Unjoined(Member),
     /// Transfer of a snapshot.
     Snapshot(Box<SnapshotMessage>),
-    /// The sender is in this earlier era, or is not a member.
+    /// Asks for a snapshot: the sender is in this earlier era, or is not a member. The second field
+    /// is the incarnation of its disk.
     WantSnapshot(Era, Birth),
     /// The disk of this incarnation has synced the snapshot of this era, and is not a member in it.
     #[strum(serialize = "learned")]
@@ -39,10 +40,11 @@
     /// The members of this era, for processes that are not members themselves.
     #[strum(serialize = "roster")]
     Membership(Era, Vec<Member>),
-    /// Names the one unjoined controller that shall found the deployment.
+    /// Names the one unjoined controller that is to found the deployment, by its disk.
     Found(Birth),
     /// A node forwards a call, under an id of its own.
     Call(RequestId, Box<Call>),
+    /// The answer to the call with this id.
     CallAnswered(RequestId, Box<CallAnswer>),
     /// Heartbeats with their ages, then the sender's clock now, and the receiver's clock as last
     /// received from it. The ages are as of a moment after the latter.
@@ -58,7 +60,7 @@
     /// Asks whether the receiver has applied this command.
     #[strum(serialize = "ask_applied")]
     AppliedQuery(Era, CommandId),
-    /// Members of earlier memberships that are past them, each with the era that followed the
+    /// Members of an earlier membership that are past it, each with the era that followed that
     /// membership; see crate `controller`.
     Landed(Vec<(Era, MemberId)>),
     /// To itself: everything that was saved before this time is synced to disk.
@@ -67,42 +69,35 @@
     SlowDisk(MemberId),
     /// A member requests the leadership, at time `asked` of its own clock.
     #[strum(serialize = "ask_leadership")]
-    LeadershipRequest {
-        candidate: MemberId,
-        epoch: Epoch,
-        asked: Mono,
-    },
+    LeadershipRequest { candidate: MemberId, epoch: Epoch, asked: Mono },
     /// The highest epoch that the voter knows; if granted, `asked` of the request.
-    LeadershipVote {
-        voter: MemberId,
-        epoch: Epoch,
-        granted: Option<Mono>,
-    },
+    LeadershipVote { voter: MemberId, epoch: Epoch, granted: Option<Mono> },
     // Between subscribers and controllers.
+    /// From a subscriber.
     Sub(Box<Sub>),
+    /// From a controller.
     Update(Box<Update>),
     /// Acknowledgement: the subscriber holds this update stream up to the number `got`.
-    Got {
-        id: NodeId,
-        feed: u64,
-        got: u64,
-    },
+    Got { id: NodeId, feed: u64, got: u64 },
     // Between edges.
+    /// Asks for a cached copy of an object.
     #[strum(serialize = "copy_ask")]
     CopyQuery {
         ask: RequestId,
         object: Object,
         /// The header fields of the first caller, without those that concern only that caller.
         heads: Headers,
-        /// For which edges the receiver shall hold a copy.
+        /// For which edges the receiver is to hold a copy.
         reach: Reach,
         /// The `ETag` of an expired copy that the sender still holds.
         held: Option<String>,
+        /// How much longer the callers behind the query wait.
         patience: Patience,
     },
     /// The home edge is working on the query.
     #[strum(serialize = "copy_wait")]
     CopyPending(RequestId),
+    /// The answer to a `CopyQuery`.
     #[strum(serialize = "copy_got")]
     CopyResult {
         ask: RequestId,
@@ -111,13 +106,13 @@
         purges: u64,
     },
     // Between edges and ledgers, and between ledgers.
+    /// An edge offers a copy for the disk cache.
     #[strum(serialize = "stock_offer")]
     DiskCacheOffer(RequestId),
+    /// The ledger accepts the offer, at time `at` of its own clock.
     #[strum(serialize = "stock_want")]
-    DiskCacheWant {
-        ask: RequestId,
-        at: Mono,
-    },
+    DiskCacheWant { ask: RequestId, at: Mono },
+    /// The copy that was offered, with `at` of the acceptance.
     #[strum(serialize = "stock_put")]
     DiskCachePut(Mono, Box<DiskCachePut>),
     /// An edge asks a ledger to grant the key to an attempt.
@@ -128,64 +123,32 @@
         /// The version of the ledger sets by which the key's ledgers were chosen.
         roll: Version,
     },
-    Claimed {
-        key: String,
-        round: RoundId,
-        said: Claimed,
-    },
+    /// The answer of a ledger to a claim.
+    Claimed { key: String, round: RoundId, said: Claimed },
     /// The attempt will never be sent to an origin: the key is free again.
-    Release {
-        key: String,
-        round: RoundId,
-    },
+    Release { key: String, round: RoundId },
     /// The outcome of an attempt, to be stored.
-    Outcome {
-        key: String,
-        print: Fingerprint,
-        round: RoundId,
-        whole: Whole,
-    },
+    Outcome { key: String, print: Fingerprint, round: RoundId, whole: Whole },
     /// The ledger has stored the outcome.
-    Kept {
-        key: String,
-        round: RoundId,
-    },
-    /// Repair between ledgers: digests of ranges of keys, then the ranges that differ.
+    Kept { key: String, round: RoundId },
+    /// Repair between ledgers: digests of the sender's records, one for each range of keys.
     Digests(Vec<u64>),
+    /// The answer: the numbers of the ranges whose digests differ, with their records.
     Ranges(Vec<(u16, Vec<Held>)>),
     /// A ledger asks another for all that it holds of the sender's keys, by this version of the
     /// ledger sets.
-    Recall {
-        ask: u64,
-        roll: Version,
-        purpose: RecallPurpose,
-    },
+    Recall { ask: u64, roll: Version, purpose: RecallPurpose },
     /// Part number `part` of `of` of the answer. Invariant: sent only by a ledger that may grant,
     /// and all parts of one answer show its state at one moment.
-    Recalled {
-        ask: u64,
-        part: u32,
-        of: u32,
-        held: Vec<Held>,
-    },
+    Recalled { ask: u64, part: u32, of: u32, held: Vec<Held> },
     /// To a ledger of the newer set: this version of the ledger sets is in force.
-    Fill {
-        roll: Version,
-    },
+    Fill { roll: Version },
     /// This ledger holds, on disk, what the older set granted.
-    Filled {
-        id: NodeId,
-        roll: Version,
-    },
+    Filled { id: NodeId, roll: Version },
     /// A leaving ledger hands over what it holds of the receiver's keys.
-    HandOver {
-        ask: u64,
-        held: Vec<Held>,
-    },
+    HandOver { ask: u64, held: Vec<Held> },
     /// All that was handed over is on disk.
-    HandedOver {
-        ask: u64,
-    },
+    HandedOver { ask: u64 },
 }
 
 impl Msg {
@@ -194,6 +157,7 @@
         self.into()
     }
 
+    /// Wraps a message of the agreement.
     pub fn agreement(era: Era, member_id: MemberId, message: Message<Cmd>) -> Msg {
         Msg::Agreement(era, member_id, Box::new(message))
     }
--- a/crates/control-state/src/rounds.rs
+++ b/crates/control-state/src/rounds.rs
@@ -20,6 +20,7 @@
 /// A ledger's answer to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Claimed {
+    /// The key is granted to this attempt.
     Granted,
     /// Another attempt has the key; its outcome, if known.
     Held(Option<Whole>),
@@ -34,8 +35,11 @@
 pub struct Held {
     pub key: String,
     pub print: Fingerprint,
+    /// The attempt that has the key.
     pub round: RoundId,
+    /// The outcome, if known.
     pub whole: Option<Whole>,
+    /// Age of the record.
     pub age: Span,
 }
 
--- a/crates/control-state/src/source.rs
+++ b/crates/control-state/src/source.rs
@@ -43,7 +43,7 @@
 }
 
 impl Source {
-    /// Whether this controller shall send complete items.
+    /// Whether this controller is to send complete items.
     pub(crate) fn is_source(&self, controller: &Addr) -> bool {
         self.chosen.is_none_or(|chosen| chosen == *controller)
     }
--- a/crates/control-state/src/subscription.rs
+++ b/crates/control-state/src/subscription.rs
@@ -23,11 +23,12 @@
     pub life: u64,
     /// `at` of the last reply from this controller.
     pub heard: Mono,
-    /// Whether this controller shall send complete items, and heartbeats. The others only announce
+    /// Whether this controller is to send complete items, and heartbeats. The others only announce
     /// larger items.
     pub source: bool,
     /// Requests that it would send beyond its own share of the ceiling, by service.
     pub wants: Vec<(Svc, u32)>,
+    /// The highest epoch of a leader that has replied to it.
     pub epoch: Epoch,
 }
 
@@ -67,5 +68,6 @@
     pub beats: Vec<(OriginHeartbeat, Span)>,
     /// Borrowed tokens: requests granted beyond its own share, by service.
     pub slices: Vec<(Svc, u32)>,
+    /// The epoch in which the controller leads; 0 if it does not lead.
     pub epoch: Epoch,
 }
