--- a/crates/control-state/src/part.rs
+++ b/crates/control-state/src/part.rs
@@ -1,5 +1,5 @@
-//! What a role is to its shell: a pure part that is stepped and answers with
-//! outputs. Simulator and stakker run the same parts.
+//! The interface of a role: a pure state machine that turns inputs into outputs. The simulator and
+//! the actor runtime run the same state machines.
 use crate::command::Change;
 use crate::configuration::CallerLimits;
 use crate::digest::ItemsDigest;
@@ -7,155 +7,178 @@
 use crate::items::*;
 use crate::message::*;
 use crate::report::Report;
-use crate::state::{ControlState, Verdict};
+use crate::state::ControlState;
+use crate::verdict::Verdict;
 use crate::whole::Whole;
 use primitives::{Addr, Birth, Mono, Span, Token};
 use std::sync::Arc;
 
-/// A caller's request as an edge sees it.
+/// A caller's request at an edge.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerRequest {
     pub method: String,
-    /// Found by host and path, if there is a host.
+    /// Chosen by host and path if there is a host.
     pub lane: Lane,
     pub host: Option<String>,
     pub path: String,
+    /// The idempotency key.
     pub key: Option<String>,
-    /// End-to-end fields, with those that forwarding adds.
+    /// End-to-end header fields, with those that forwarding adds.
     pub heads: Headers,
     pub body: Arc<Vec<u8>>,
-    /// How long its caller waits, if it says so.
+    /// How long its caller waits, if it stated that.
     pub left: Option<Span>,
 }
 
-/// One try at an origin.
+/// One attempt at an origin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Round {
     pub n: u64,
     pub addr: Addr,
     pub svc: Svc,
     pub birth: Birth,
-    /// What the origin calls its life itself, if it does.
+    /// The name that this incarnation of the origin gives itself; empty if it has none.
     pub tag: String,
-    /// Invariant: not a byte leaves after this.
+    /// Invariant: no byte is sent after this time.
     pub until: Mono,
-    /// When the answer is given up.
+    /// When waiting for the response ends.
     pub answer_deadline: Mono,
-    /// Not the request's first round.
+    /// Whether it is a further attempt for its request.
     pub extra: bool,
     pub req: CallerRequest,
 }
 
-/// What became of a round.
+/// The outcome of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FetchOutcome {
+    /// The complete response.
     Whole(Whole),
-    /// Not a byte left.
+    /// No byte was sent.
     NotSent,
-    /// The origin says that it did not run it.
+    /// The origin answered that it did not execute the request.
     Refused,
-    /// Another life is at the address: it did not run it.
+    /// Another incarnation is at the address: it did not execute the request.
     WrongIncarnation,
-    /// Bytes left and no whole answer came back.
+    /// Bytes were sent and no complete response was received.
     Lost,
-    /// The answer is longer than any that is served here.
+    /// The response is larger than this node serves.
     TooLarge,
 }
 
-/// Why a request is denied; nothing of it ever went out.
+/// Why a request is denied; no part of it was or will be sent to an origin.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Denied {
+    /// No route matches.
     NoLane,
+    /// The route requires an idempotency key.
     NoKey,
+    /// The key was used before with a different request.
     KeyReused,
+    /// The route does not accept the method.
     BadMethod,
+    /// The node holds no lease.
     NoLease,
+    /// No service or no origin is available.
     NoOrigin,
+    /// The ceiling of the service, or the queue for it, leaves no time for the request.
     Ceiling,
+    /// The attempt got no quorum of grants for the key in time.
     SplitVote,
+    /// The node is leaving.
     Leaving,
+    /// The node has too many requests in flight.
     TooMany,
-    /// Another try of the key is under way, or its outcome is not known.
+    /// Another attempt for the key is in progress, or its outcome is not known.
     KeyAtWork,
-    /// Origins took it, none could run it.
+    /// Origins received it, but none executed it.
     Refused,
 }
 
-/// The last word on a request.
+/// The final result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Invariant: not a byte leaves after the point given.
+    /// Invariant: no byte is sent after the given time.
     Serve(Arc<Whole>, AnswerSource, Mono),
-    /// Denied, with when to come back.
+    /// Denied, with the time after which to retry.
     Deny(Denied, Span),
-    /// Sent, and what became of it is unknown.
+    /// Sent to an origin, with unknown outcome, and the time after which to retry.
     OutcomeUnknown(Span),
 }
 
-/// Where an answer came from.
+/// Where a response came from.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AnswerSource {
     Origin,
-    /// A shared copy, and its age.
+    /// A cached copy, and its age.
     Copy(Span),
-    /// The recorded outcome of an earlier round.
+    /// The recorded outcome of an earlier attempt.
     Record,
-    /// lanewing's own last word, where the origin's cannot be passed on.
+    /// Generated by lanewing, where the origin's response cannot be forwarded.
     Own,
 }
 
+/// A request to a node from its own process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ask {
-    // at controllers
+    // At controllers.
     Change(Change),
-    /// A beat, and if its origin gives it back, the controller's clock as of the last
-    /// reply it had: the beat is no older.
+    /// A heartbeat. If its origin returns the time of the last reply that it got, by the
+    /// controller's clock, the heartbeat is no older than that.
     OriginHeartbeat(OriginHeartbeat, Option<Mono>),
-    /// An origin signs off, by what it calls its life itself.
+    /// An origin deregisters, by the name that it gives itself.
     SignOff(String),
-    /// Swap a lost controller for the one now at an address.
+    /// Replaces a lost controller by the one now at address `new`.
     Replace {
         old: Addr,
         new: Addr,
     },
+    /// The complete state as this node holds it.
     Table,
-    /// The whole state, unless it is just what the asker holds.
+    /// The complete state, unless its digest is this one.
     TableIfChanged(ItemsDigest),
-    /// The whole state by agreement, whoever is asked.
+    /// The complete state by agreement, from whichever node.
     Read,
-    // at edges
+    // At edges.
+    /// A caller's request arrived.
     Begin(CallerRequest),
+    /// The attempt with this number has ended.
     Done(u64, FetchOutcome),
-    /// What a probe that was begun then found: service, life, whether it serves.
+    /// The result of a health check that was started at that time: service, incarnation, whether it
+    /// serves.
     ProbeResult(Addr, Option<(Svc, Birth, bool)>, Mono),
+    /// Asks which origins to check.
     Probes,
-    /// What callers may send.
+    /// The limits on requests of callers.
     Limits,
-    // at any
+    // At any node.
     Ready,
-    /// Stop taking new work; finished once nothing is in hand.
+    /// Stops accepting new work; complete once no request is in flight.
     Drain,
 }
 
-/// What `Ask::Ready` finds out.
+/// The answer to `Ask::Ready`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Health {
     pub ready: bool,
     pub why: &'static str,
+    /// Number of in-flight requests.
     pub in_hand: u64,
-    /// Not ready, but still taking requests: it has begun to leave.
+    /// It still accepts requests although it is not ready: it has begun to leave.
     pub accepting_requests: bool,
     pub counts: Vec<(&'static str, u64)>,
 }
 
+/// The reply to an `Ask`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeReply {
-    /// Decided and in force (or of no effect, as the verdict says).
+    /// Decided and in force, or without effect, as the verdict tells.
     Change(Verdict),
     Acknowledged,
+    /// Cannot be answered now, with the reason.
     Unavailable(&'static str),
+    /// The complete state, and the heartbeats of origins with their ages.
     Table(Box<ControlState>, Vec<(OriginHeartbeat, Span)>),
-    /// The asker holds all there is.
+    /// The digest of the state is that of the request.
     Unchanged,
     Step(Step),
     Probes(Vec<Addr>),
@@ -163,40 +186,45 @@
     Health(Health),
 }
 
+/// An input of a state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum In {
     Msg(Addr, Msg),
     Ask(Token, Ask),
+    /// A timer tick.
     Tick,
 }
 
-/// Invariant: an output leaves only after every `Save` and `Base` before it was synced.
+/// An output of a state machine. Invariant: an output takes effect only after every `Save` and `Base`
+/// before it is synced to disk; `SendNow` is the exception.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Out {
+    /// A record to append to the log on disk.
     Save(Vec<u8>),
-    /// A record that stands for all records before it.
+    /// A record that replaces all records before it.
     Base(Vec<u8>),
     Send(Addr, Msg),
-    /// A message that relies on nothing saved: it leaves at once, also past a save under way.
+    /// A message that depends on no saved record: it is sent at once, even during a save.
     SendNow(Addr, Msg),
     Tell(Token, NodeReply),
-    /// The executor runs this round and reports with `Ask::Done`.
+    /// The executor makes this attempt and reports its end with `Ask::Done`.
     Fetch(Round),
-    /// Something worth remembering when something goes wrong.
+    /// An entry for the log ring, which is written out when an alarm is raised.
     Note(&'static str),
-    /// Something went wrong: the log ring is written out.
+    /// A fault: the log ring is written out.
     Alarm(&'static str),
-    /// A call that was slow or not answered; written out at once.
+    /// A call that was slow or not answered; logged at once.
     Report(Report),
 }
 
 impl Out {
-    /// Whether it leaves at once, past the saves ahead of it.
+    /// Whether it is sent at once, without waiting for earlier saves.
     pub fn is_immediate(&self) -> bool {
         matches!(self, Out::SendNow(..))
     }
 }
 
+/// A pure state machine: its outputs depend only on its state, the time and the input.
 pub trait Part: Send {
-    fn step(&mut self, now: Mono, inp: In, out: &mut Vec<Out>);
+    fn step(&mut self, now: Mono, input: In, out: &mut Vec<Out>);
 }
