--- a/crates/caesar/src/catch_up.rs
+++ b/crates/caesar/src/catch_up.rs
@@ -1,38 +1,42 @@
-//! Catching up: learning what others hold as stable, and fetching what is lacking in
-//! replies of bounded size.
+//! Catch-up: learns which commands are stable at the other members and fetches the missing
+//! ones in replies of bounded size.
 //!
-//! A member is *caught up* once it holds all that a classic quorum, itself included,
-//! held as stable at some moment after its return. Until then what it knows may be old.
+//! A member is *caught up* once it holds every command that was stable at a classic quorum,
+//! itself included, at some time after its return. Until then its state may be outdated.
 use crate::classic_quorum;
 use crate::machine::Machine;
 use crate::types::*;
 use primitives::{Mono, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A reply holds at least one command, and no more than fit into this many bytes.
-const REPLY: usize = 64 << 10;
-/// Commands asked for at once.
-const MANY: usize = 64;
-/// How long a reply is waited for at first; twice as long after each that does not come.
-const RETRY: Span = Span::secs(1);
-const DOUBLINGS: u32 = 3;
+/// Limit on the total size of the commands in one reply; a reply holds at least one command.
+const MAX_REPLY_BYTES: usize = 64 << 10;
+/// Maximum number of commands requested at once.
+const MAX_REQUESTED_COMMANDS: usize = 64;
+/// Timeout of the first request. It doubles with each unanswered request, up to
+/// `MAX_RETRY_DOUBLINGS` times.
+const FETCH_RETRY: Span = Span::secs(1);
+const MAX_RETRY_DOUBLINGS: u32 = 3;
 
-/// What one member knows of the others' stable commands.
+/// What this member knows about the stable commands of the other members.
 #[derive(Clone, Debug)]
 pub(crate) struct CatchUp {
-    /// When this member came back.
+    /// When this member returned, by its own clock.
     since: Mono,
-    /// Whose stable commands, as of a moment after that, are all here.
+    /// Members of which this one holds all commands that were stable there at some time after `since`.
     matched: BTreeSet<MemberId>,
-    /// What each other member has and this one lacked when last compared.
-    lacks: BTreeMap<MemberId, Preds>,
-    /// The request under way, if any.
-    asked: Option<Mono>,
-    unanswered: u32,
-    /// Whom the next request goes to, as a count.
-    turn: usize,
-    listed: Option<Mono>,
-    progressed: Mono,
+    /// Stable commands of each other member that are missing here, as of its last list.
+    missing: BTreeMap<MemberId, Preds>,
+    /// When the in-flight request was sent, if there is one.
+    request_sent_at: Option<Mono>,
+    /// Requests without a reply since the last reply.
+    unanswered_requests: u32,
+    /// Selects the recipient of the next request: an index into `missing`, modulo its length.
+    next_member: usize,
+    /// When all members were last asked for the ids of their stable commands.
+    list_requested_at: Option<Mono>,
+    /// When missing commands last arrived; at first the same as `since`.
+    last_progress: Mono,
 }
 
 impl CatchUp {
@@ -40,139 +44,170 @@
         CatchUp {
             since,
             matched: BTreeSet::new(),
-            lacks: BTreeMap::new(),
-            asked: None,
-            unanswered: 0,
-            turn: 0,
-            listed: None,
-            progressed: since,
+            missing: BTreeMap::new(),
+            request_sent_at: None,
+            unanswered_requests: 0,
+            next_member: 0,
+            list_requested_at: None,
+            last_progress: since,
         }
     }
 
-    fn waits(&self, now: Mono) -> bool {
-        let patience = RETRY.times(1 << self.unanswered.min(DOUBLINGS));
-        self.asked.is_some_and(|t| now - t < patience)
+    fn awaits_reply(&self, now: Mono) -> bool {
+        let timeout = FETCH_RETRY.times(1 << self.unanswered_requests.min(MAX_RETRY_DOUBLINGS));
+        self.request_sent_at.is_some_and(|sent_at| now - sent_at < timeout)
     }
 }
 
 impl<C: Command> Machine<C> {
-    /// Holds all that a classic quorum held as stable at a moment after its return.
+    /// Whether this member holds every command that was stable at a classic quorum at some time after its
+    /// return.
     pub fn caught_up(&self) -> bool {
-        self.catch_up.matched.len() + 1 >= classic_quorum(self.n())
+        self.catch_up.matched.len() + 1 >= classic_quorum(self.member_count())
     }
 
-    /// When it came back or last got something that it lacked, by its own clock.
+    /// When this member last received missing commands, or when it returned if it has received none since;
+    /// by its own clock.
     pub fn last_catch_up_progress(&self) -> Mono {
-        self.catch_up.progressed
+        self.catch_up.last_progress
     }
 
-    /// It did not come back from anywhere: it delivered the end of the era before.
+    /// Marks this member as caught up without catch-up: it has just delivered the end of the previous era.
     pub fn mark_caught_up(&mut self) {
-        self.catch_up.matched = self.roster.iter().copied().filter(|k| *k != self.me).collect();
+        self.catch_up.matched =
+            self.members.iter().copied().filter(|member_id| *member_id != self.me).collect();
     }
 
-    /// It comes back from somewhere: nothing that others said before counts.
+    /// Starts catch-up anew after this member returned: lists received before `now` no longer count.
     pub fn restart_catch_up(&mut self, now: Mono) {
         self.catch_up = CatchUp::new(now);
     }
 
     pub(crate) fn is_stable(&self, cid: &CommandId) -> bool {
-        self.h.get(cid).is_some_and(|t| t.status == Status::Stable)
+        self.history.get(cid).is_some_and(|tuple| tuple.status == Status::Stable)
     }
 
-    pub(crate) fn on_have(&mut self, now: Mono, from: MemberId, n: u64, digest: u64, out: &mut Vec<Out<C>>) {
-        if from != self.me && n >= self.stables && digest != self.digest {
+    /// Handles a member's count and digest of stable commands: requests its list if it has any that may be
+    /// missing here.
+    pub(crate) fn on_stable_digest(
+        &mut self,
+        now: Mono,
+        from: MemberId,
+        count: u64,
+        digest: u64,
+        out: &mut Vec<Out<C>>,
+    ) {
+        if from != self.me && count >= self.stable_count && digest != self.digest {
             self.send(from, Message::RequestStableIds(now), out);
         }
     }
 
-    pub(crate) fn on_ask_stable(&mut self, from: MemberId, mark: Mono, out: &mut Vec<Out<C>>) {
-        let ids = self.h.iter().filter(|(_, t)| t.status == Status::Stable).map(|(id, _)| *id).collect();
-        self.send(from, Message::StableIds(mark, ids), out);
+    /// Replies with the ids of all stable commands; echoes `asked_at`, which is a time of the sender's clock.
+    pub(crate) fn on_request_stable_ids(&mut self, from: MemberId, asked_at: Mono, out: &mut Vec<Out<C>>) {
+        let ids = self
+            .history
+            .iter()
+            .filter(|(_, tuple)| tuple.status == Status::Stable)
+            .map(|(id, _)| *id)
+            .collect();
+        self.send(from, Message::StableIds(asked_at, ids), out);
     }
 
-    /// `mark` is when this member asked, by its own clock.
+    /// Handles a list of stable commands. `asked_at` is when this member requested it, by its own clock.
     pub(crate) fn on_stable_ids(
         &mut self,
         now: Mono,
         from: MemberId,
-        mark: Mono,
+        asked_at: Mono,
         ids: Vec<CommandId>,
         out: &mut Vec<Out<C>>,
     ) {
-        if from == self.me || mark < self.catch_up.since {
+        if from == self.me || asked_at < self.catch_up.since {
             return;
         }
-        let lacks: Preds = ids.into_iter().filter(|id| !self.is_stable(id)).collect();
-        self.catch_up.lacks.insert(from, lacks);
-        self.fetch(now, out);
+        let missing: Preds = ids.into_iter().filter(|id| !self.is_stable(id)).collect();
+        self.catch_up.missing.insert(from, missing);
+        self.request_missing(now, out);
     }
 
-    /// Sends what was asked for, as much as one reply holds.
+    /// Replies with the requested commands that are stable here, as many as fit into one reply.
     pub(crate) fn on_want(&mut self, from: MemberId, ids: Vec<CommandId>, out: &mut Vec<Out<C>>) {
-        let mut offers = vec![];
+        let mut proposals = vec![];
         let mut bytes = 0;
         for cid in ids {
-            let Some(t) = self.h.get(&cid).filter(|t| t.status == Status::Stable) else { continue };
-            bytes += t.cmd.bytes();
-            if bytes > REPLY && !offers.is_empty() {
+            let Some(tuple) = self.history.get(&cid).filter(|tuple| tuple.status == Status::Stable) else {
+                continue;
+            };
+            bytes += tuple.cmd.bytes();
+            if bytes > MAX_REPLY_BYTES && !proposals.is_empty() {
                 break;
             }
-            let (cmd, pred) = (t.cmd.clone(), t.pred.clone());
-            offers.push(Offer { cid, cmd, ballot: t.ballot, stamp: t.stamp, pred });
+            let (cmd, pred) = (tuple.cmd.clone(), tuple.pred.clone());
+            proposals.push(Offer { cid, cmd, ballot: tuple.ballot, stamp: tuple.stamp, pred });
         }
-        if !offers.is_empty() {
-            self.send(from, Message::StableCommands(offers), out);
+        if !proposals.is_empty() {
+            self.send(from, Message::StableCommands(proposals), out);
         }
     }
 
-    pub(crate) fn on_stables(&mut self, now: Mono, offers: Vec<Offer<C>>, out: &mut Vec<Out<C>>) {
-        offers.into_iter().for_each(|o| self.on_stable(now, o, out));
-        self.catch_up.asked = None;
-        self.catch_up.unanswered = 0;
-        self.catch_up.progressed = now;
-        self.fetch(now, out);
+    /// Handles the reply to a request for missing commands.
+    pub(crate) fn on_stable_commands(&mut self, now: Mono, proposals: Vec<Offer<C>>, out: &mut Vec<Out<C>>) {
+        proposals.into_iter().for_each(|proposal| self.on_stable(now, proposal, out));
+        self.catch_up.request_sent_at = None;
+        self.catch_up.unanswered_requests = 0;
+        self.catch_up.last_progress = now;
+        self.request_missing(now, out);
     }
 
-    /// Asks one member for what is lacking; one request is under way at a time.
-    fn fetch(&mut self, now: Mono, out: &mut Vec<Out<C>>) {
-        let h = &self.h;
-        let lacking = |id: &CommandId| h.get(id).is_none_or(|t| t.status != Status::Stable);
-        self.catch_up.lacks.values_mut().for_each(|ids| ids.retain(lacking));
-        let done: Vec<MemberId> =
-            self.catch_up.lacks.iter().filter(|(_, ids)| ids.is_empty()).map(|(k, _)| *k).collect();
-        for member_id in done {
-            self.catch_up.lacks.remove(&member_id);
+    /// Requests missing commands from one member, unless a request is already in flight.
+    fn request_missing(&mut self, now: Mono, out: &mut Vec<Out<C>>) {
+        let history = &self.history;
+        let is_missing = |id: &CommandId| history.get(id).is_none_or(|tuple| tuple.status != Status::Stable);
+        self.catch_up.missing.values_mut().for_each(|ids| ids.retain(is_missing));
+        let matched: Vec<MemberId> = self
+            .catch_up
+            .missing
+            .iter()
+            .filter(|(_, ids)| ids.is_empty())
+            .map(|(member_id, _)| *member_id)
+            .collect();
+        for member_id in matched {
+            self.catch_up.missing.remove(&member_id);
             self.catch_up.matched.insert(member_id);
         }
-        if self.catch_up.lacks.is_empty() {
-            self.catch_up.asked = None;
+        if self.catch_up.missing.is_empty() {
+            self.catch_up.request_sent_at = None;
             return;
         }
-        if self.catch_up.waits(now) {
+        if self.catch_up.awaits_reply(now) {
             return;
         }
-        if self.catch_up.asked.is_some() {
-            self.catch_up.unanswered += 1;
-            self.catch_up.turn += 1;
+        if self.catch_up.request_sent_at.is_some() {
+            self.catch_up.unanswered_requests += 1;
+            self.catch_up.next_member += 1;
         }
-        self.catch_up.asked = Some(now);
-        let at = self.catch_up.turn % self.catch_up.lacks.len();
-        let next = self.catch_up.lacks.iter().nth(at);
-        if let Some((member_id, ids)) = next.map(|(k, ids)| (*k, ids.iter().take(MANY).copied().collect())) {
+        self.catch_up.request_sent_at = Some(now);
+        let index = self.catch_up.next_member % self.catch_up.missing.len();
+        let next = self.catch_up.missing.iter().nth(index);
+        if let Some((member_id, ids)) = next
+            .map(|(member_id, ids)| (*member_id, ids.iter().take(MAX_REQUESTED_COMMANDS).copied().collect()))
+        {
             self.send(member_id, Message::Want(ids), out);
         }
     }
 
-    /// Several times a second, until caught up, asks everybody for their lists.
-    pub(crate) fn push_catch_up(&mut self, now: Mono, out: &mut Vec<Out<C>>) {
-        let due = self.catch_up.listed.is_none_or(|t| now - t >= self.pace.compare);
+    /// Until caught up, requests the lists of all members every `digest_interval`, and missing commands.
+    pub(crate) fn advance_catch_up(&mut self, now: Mono, out: &mut Vec<Out<C>>) {
+        let due = self
+            .catch_up
+            .list_requested_at
+            .is_none_or(|requested_at| now - requested_at >= self.config.digest_interval);
         if !self.caught_up() && due {
-            self.catch_up.listed = Some(now);
+            self.catch_up.list_requested_at = Some(now);
             self.send_all(Message::RequestStableIds(now), out);
         }
-        if !self.catch_up.lacks.is_empty() {
-            self.fetch(now, out);
+        if !self.catch_up.missing.is_empty() {
+            self.request_missing(now, out);
         }
     }
 }
--- a/crates/caesar/src/deliver.rs
+++ b/crates/caesar/src/deliver.rs
@@ -1,63 +1,78 @@
-//! The stable phase at an acceptor, loop breaking and delivery.
+//! The stable phase at an acceptor, breaking of predecessor loops, and delivery.
 use crate::machine::Machine;
 use crate::types::*;
 use primitives::Mono;
 
 impl<C: Command> Machine<C> {
-    /// A decision is taken whatever its ballot: all decisions on one command agree.
-    pub(crate) fn on_stable(&mut self, now: Mono, o: Offer<C>, out: &mut Vec<Out<C>>) {
-        self.see(o.stamp.k, out);
-        if self.h.get(&o.cid).is_some_and(|t| t.status == Status::Stable) {
+    /// Records a decision under any ballot, as all decisions on one command are equal.
+    pub(crate) fn on_stable(&mut self, now: Mono, proposal: Offer<C>, out: &mut Vec<Out<C>>) {
+        self.observe_clock(proposal.stamp.k, out);
+        if self.history.get(&proposal.cid).is_some_and(|tuple| tuple.status == Status::Stable) {
             return;
         }
-        let b = self.ballots.entry(o.cid).or_default();
-        *b = (*b).max(o.ballot);
-        let t = Tuple {
-            cmd: o.cmd,
-            stamp: o.stamp,
-            pred: o.pred,
+        let promised = self.ballots.entry(proposal.cid).or_default();
+        *promised = (*promised).max(proposal.ballot);
+        let tuple = Tuple {
+            cmd: proposal.cmd,
+            stamp: proposal.stamp,
+            pred: proposal.pred,
             status: Status::Stable,
-            ballot: o.ballot,
+            ballot: proposal.ballot,
             forced: false,
         };
-        self.leads.remove(&o.cid);
-        self.update(now, o.cid, t, out);
+        self.leader_states.remove(&proposal.cid);
+        self.update(now, proposal.cid, tuple, out);
         self.deliver(now, out);
     }
 
-    /// BREAKLOOP and DELIVERABLE in one look: a predecessor that is itself stable
-    /// with a larger timestamp does not count.
-    fn ready(&self, t: &Tuple<C>) -> bool {
-        t.pred.iter().all(|p| {
-            self.done.contains(p)
-                || self.h.get(p).is_some_and(|u| u.status == Status::Stable && u.stamp > t.stamp)
+    /// BREAKLOOP and DELIVERABLE in one check: a predecessor that is stable with a larger
+    /// timestamp is ignored.
+    fn is_deliverable(&self, tuple: &Tuple<C>) -> bool {
+        tuple.pred.iter().all(|id| {
+            self.delivered_ids.contains(id)
+                || self
+                    .history
+                    .get(id)
+                    .is_some_and(|other| other.status == Status::Stable && other.stamp > tuple.stamp)
         })
     }
 
+    /// Delivers every command that has become deliverable, in the order of timestamps.
     pub(crate) fn deliver(&mut self, _now: Mono, out: &mut Vec<Out<C>>) {
         loop {
             let mut next: Vec<(Stamp, CommandId)> = self
-                .h
+                .history
                 .iter()
-                .filter(|(id, t)| t.status == Status::Stable && !self.done.contains(id) && self.ready(t))
-                .map(|(id, t)| (t.stamp, *id))
+                .filter(|(id, tuple)| {
+                    tuple.status == Status::Stable
+                        && !self.delivered_ids.contains(id)
+                        && self.is_deliverable(tuple)
+                })
+                .map(|(id, tuple)| (tuple.stamp, *id))
                 .collect();
             if next.is_empty() {
                 return;
             }
             next.sort();
             for (_, cid) in next {
-                self.done.insert(cid);
-                self.stuck.remove(&cid);
-                out.push(Out::Deliver(cid, self.h[&cid].cmd.clone()));
+                self.delivered_ids.insert(cid);
+                self.unfinished.remove(&cid);
+                out.push(Out::Deliver(cid, self.history[&cid].cmd.clone()));
             }
         }
     }
 
-    pub(crate) fn tell_stable(&mut self, to: MemberId, cid: CommandId, out: &mut Vec<Out<C>>) {
-        if let Some(t) = self.h.get(&cid).filter(|t| t.status == Status::Stable) {
-            let o = Offer { cid, cmd: t.cmd.clone(), ballot: t.ballot, stamp: t.stamp, pred: t.pred.clone() };
-            self.send(to, Message::Stable(o), out);
+    /// Sends the decision on a command, if it is stable here.
+    pub(crate) fn send_stable(&mut self, to: MemberId, cid: CommandId, out: &mut Vec<Out<C>>) {
+        if let Some(tuple) = self.history.get(&cid).filter(|tuple| tuple.status == Status::Stable) {
+            let proposal = Offer {
+                cid,
+                cmd: tuple.cmd.clone(),
+                ballot: tuple.ballot,
+                stamp: tuple.stamp,
+                pred: tuple.pred.clone(),
+            };
+            self.send(to, Message::Stable(proposal), out);
         }
     }
 }
--- a/crates/caesar/src/disk.rs
+++ b/crates/caesar/src/disk.rs
@@ -1,43 +1,48 @@
-//! What the disk gives back, and what it must hold.
+//! Restoring a replica from its log, and writing out its state as log records.
 use crate::machine::Machine;
 use crate::types::*;
 use primitives::Mono;
 
 impl<C: Command> Machine<C> {
-    /// Takes back one record of the disk; call for all, in order, before any input.
-    pub fn replay(&mut self, rec: LogRecord<C>) {
-        match rec {
-            LogRecord::Tuple(cid, t) => {
-                self.clock = self.clock.max(t.stamp.k + 1);
-                let b = self.ballots.entry(cid).or_default();
-                *b = (*b).max(t.ballot);
-                self.note_stable(cid, t.status);
-                self.put(cid, t);
+    /// Applies one record of the log.
+    ///
+    /// Must be called for all records, in the order in which they were saved, before any
+    /// other input.
+    pub fn replay(&mut self, record: LogRecord<C>) {
+        match record {
+            LogRecord::Tuple(cid, tuple) => {
+                self.clock = self.clock.max(tuple.stamp.k + 1);
+                let promised = self.ballots.entry(cid).or_default();
+                *promised = (*promised).max(tuple.ballot);
+                self.count_stable(cid, tuple.status);
+                self.insert_tuple(cid, tuple);
             }
-            LogRecord::StatusChanged(cid, t) => {
-                // Records are whole and in order, so the command was recorded before.
-                if let Some(cmd) = self.h.get(&cid).map(|was| was.cmd.clone()) {
-                    self.replay(LogRecord::Tuple(cid, t.with(cmd)));
+            LogRecord::StatusChanged(cid, tuple) => {
+                // The log is complete and in order, so a `Tuple` record with the command came before.
+                if let Some(cmd) = self.history.get(&cid).map(|previous| previous.cmd.clone()) {
+                    self.replay(LogRecord::Tuple(cid, tuple.with(cmd)));
                 }
             }
-            LogRecord::Ballot(cid, b) => {
-                let was = self.ballots.entry(cid).or_default();
-                *was = (*was).max(b);
+            LogRecord::Ballot(cid, ballot) => {
+                let previous = self.ballots.entry(cid).or_default();
+                *previous = (*previous).max(ballot);
             }
             LogRecord::Clock(k) => self.clock = self.clock.max(k),
         }
         self.bound = self.bound.max(self.clock);
     }
 
-    /// After the last `replay`: delivers again what was delivered before.
+    /// To be called after the last [`replay`](Machine::replay): delivers again the commands that
+    /// had been delivered before the restart.
     pub fn resume(&mut self, now: Mono, out: &mut Vec<Out<C>>) {
         self.deliver(now, out);
     }
 
-    /// Everything a disk must hold of this machine, in short.
+    /// The records from which [`replay`](Machine::replay) restores the current state; they can
+    /// replace the log.
     pub fn dump(&self) -> Vec<LogRecord<C>> {
-        let tuples = self.h.iter().map(|(c, t)| LogRecord::Tuple(*c, t.clone()));
-        let ballots = self.ballots.iter().map(|(c, b)| LogRecord::Ballot(*c, *b));
+        let tuples = self.history.iter().map(|(cid, tuple)| LogRecord::Tuple(*cid, tuple.clone()));
+        let ballots = self.ballots.iter().map(|(cid, ballot)| LogRecord::Ballot(*cid, *ballot));
         ballots.chain(tuples).chain([LogRecord::Clock(self.bound)]).collect()
     }
 }
--- a/crates/caesar/src/lead.rs
+++ b/crates/caesar/src/lead.rs
@@ -1,161 +1,197 @@
-//! The leader's side: the four phases (paper, Fig. 3 left).
-use crate::machine::{Lead, Machine, Step};
+//! The leader: runs the four phases of a command (paper, left side of Fig. 3).
+use crate::machine::Machine;
 use crate::types::*;
-use crate::{classic_quorum, fast};
+use crate::{classic_quorum, fast_quorum};
 use primitives::{Mono, Span};
 use std::collections::BTreeMap;
 
-/// A message without an answer is repeated at least this often.
-const MOST_SELDOM: Span = Span::secs(1);
-/// What a byte of a command may take to arrive: 100 kB a second.
-const MICROS_A_BYTE: u64 = 10;
+/// Upper bound on the interval at which an unanswered message is repeated, unless a round
+/// trip or the transfer of the command takes longer.
+const MAX_REPEAT_INTERVAL: Span = Span::secs(1);
+/// Assumed transfer time per byte of a command: 100 kB/s.
+const MICROS_PER_BYTE: u64 = 10;
+
+/// State of a command that this replica leads, under one ballot.
+#[derive(Clone, Debug, Hash)]
+pub(crate) struct LeaderState<C> {
+    pub proposal: Offer<C>,
+    pub step: Step,
+    /// Whether `proposal.pred` is a whitelist set by recovery.
+    pub has_whitelist: bool,
+    /// First vote of each member in this phase: whether it agrees, the timestamp and the predecessors.
+    pub votes: BTreeMap<MemberId, (bool, Stamp, Preds)>,
+    /// What each member that has replied to `Recover` holds for the command.
+    pub recover_replies: BTreeMap<MemberId, Option<Tuple<C>>>,
+    /// When this replica began to lead the command or entered the fast phase.
+    pub started_at: Mono,
+    /// When the message of this step was last sent.
+    pub last_sent: Mono,
+}
+
+/// What a leader is waiting for.
+#[derive(Copy, Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) enum Step {
+    /// Replies to `Recover`.
+    Prepare,
+    /// Votes of a phase.
+    Vote(Phase),
+}
 
 impl<C: Command> Machine<C> {
-    /// PROPOSE: this controller becomes the command's leader.
+    /// PROPOSE: starts agreement on the command, with this replica as its leader.
     pub fn propose(&mut self, now: Mono, cmd: C, out: &mut Vec<Out<C>>) -> CommandId {
         let stamp = self.next_stamp(out);
         let cid = CommandId { member_id: self.me, seq: stamp.k };
         self.tally.proposed += 1;
-        let offer = Offer { cid, cmd, ballot: Ballot::default(), stamp, pred: Preds::new() };
-        self.start(now, offer, Phase::Fast, false, out);
+        let proposal = Offer { cid, cmd, ballot: Ballot::default(), stamp, pred: Preds::new() };
+        self.start_phase(now, proposal, Phase::Fast, false, out);
         cid
     }
 
-    /// Enters a phase and tells everyone.
-    pub(crate) fn start(
+    /// Enters a phase and sends the proposal to all members.
+    pub(crate) fn start_phase(
         &mut self,
         now: Mono,
-        offer: Offer<C>,
+        proposal: Offer<C>,
         phase: Phase,
-        white: bool,
+        has_whitelist: bool,
         out: &mut Vec<Out<C>>,
     ) {
-        let began = match self.leads.get(&offer.cid) {
-            Some(l) if phase != Phase::Fast => l.began,
+        let started_at = match self.leader_states.get(&proposal.cid) {
+            Some(state) if phase != Phase::Fast => state.started_at,
             _ => now,
         };
-        let lead = Lead {
-            offer,
+        let state = LeaderState {
+            proposal,
             step: Step::Vote(phase),
-            white,
+            has_whitelist,
             votes: BTreeMap::new(),
-            finds: BTreeMap::new(),
-            began,
-            sent: now,
+            recover_replies: BTreeMap::new(),
+            started_at,
+            last_sent: now,
         };
-        let msg = lead.message();
-        self.leads.insert(lead.offer.cid, lead);
+        let msg = state.message();
+        self.leader_states.insert(state.proposal.cid, state);
         self.send_all(msg, out);
     }
 
-    pub(crate) fn on_vote(&mut self, now: Mono, from: MemberId, v: Vote, out: &mut Vec<Out<C>>) {
-        let Some(l) = self.leads.get_mut(&v.cid) else {
+    /// Counts a vote of the current phase; fast-phase votes also measure the round-trip time.
+    pub(crate) fn on_vote(&mut self, now: Mono, from: MemberId, vote: Vote, out: &mut Vec<Out<C>>) {
+        let Some(state) = self.leader_states.get_mut(&vote.cid) else {
             return;
         };
-        if l.offer.ballot != v.ballot || l.step != Step::Vote(v.phase) {
+        if state.proposal.ballot != vote.ballot || state.step != Step::Vote(vote.phase) {
             return;
         }
-        l.votes.entry(from).or_insert((v.ok, v.stamp, v.pred));
-        if v.phase == Phase::Fast && from != self.me {
-            let rtt = now - l.sent;
-            let was = self.rtts.entry(from).or_insert(rtt);
-            *was = Span((was.0 * 7 + rtt.0) / 8);
+        state.votes.entry(from).or_insert((vote.ok, vote.stamp, vote.pred));
+        if vote.phase == Phase::Fast && from != self.me {
+            let rtt = now - state.last_sent;
+            let average = self.rtts.entry(from).or_insert(rtt);
+            *average = Span((average.0 * 7 + rtt.0) / 8);
         }
-        self.weigh(now, v.cid, false, out);
+        self.evaluate_votes(now, vote.cid, false, out);
     }
 
-    /// The measured quorum round trip: the slowest of the nearest classic quorum.
+    /// Measured round-trip time to a quorum: the slowest member of the nearest classic quorum.
     pub(crate) fn rtt(&self) -> Span {
         let mut all: Vec<Span> = self.rtts.values().copied().collect();
         all.sort();
-        all.get(classic_quorum(self.n()).saturating_sub(2)).copied().unwrap_or(self.pace.initial_rtt)
+        all.get(classic_quorum(self.member_count()).saturating_sub(2))
+            .copied()
+            .unwrap_or(self.config.initial_rtt)
     }
 
-    /// Decides whether the phase is over; `late` says the fast timeout has run out.
-    fn weigh(&mut self, now: Mono, cid: CommandId, late: bool, out: &mut Vec<Out<C>>) {
-        let n = self.n();
-        let Some(l) = self.leads.get(&cid) else {
+    /// Ends the phase if enough votes are in. `late` means that the timeout of the fast phase has
+    /// expired, so that a classic quorum is enough.
+    fn evaluate_votes(&mut self, now: Mono, cid: CommandId, late: bool, out: &mut Vec<Out<C>>) {
+        let member_count = self.member_count();
+        let Some(state) = self.leader_states.get(&cid) else {
             return;
         };
-        let Step::Vote(phase) = l.step else { return };
-        let need = match phase {
-            Phase::Fast if !late => fast(n),
-            _ => classic_quorum(n),
+        let Step::Vote(phase) = state.step else { return };
+        let required = match phase {
+            Phase::Fast if !late => fast_quorum(member_count),
+            _ => classic_quorum(member_count),
         };
-        if l.votes.len() < need {
+        if state.votes.len() < required {
             return;
         }
-        let mut offer = l.offer.clone();
-        let nacked = l.votes.values().any(|(ok, ..)| !ok);
-        let enough = l.votes.len() >= fast(n);
-        offer.pred = l.votes.values().flat_map(|(_, _, p)| p.iter().copied()).collect();
-        offer.pred.remove(&cid);
+        let mut proposal = state.proposal.clone();
+        let rejected = state.votes.values().any(|(ok, ..)| !ok);
+        let fast_quorum_reached = state.votes.len() >= fast_quorum(member_count);
+        proposal.pred = state.votes.values().flat_map(|(_, _, pred)| pred.iter().copied()).collect();
+        proposal.pred.remove(&cid);
         match phase {
-            _ if nacked => {
-                offer.stamp = l.votes.values().map(|(_, s, _)| *s).max().unwrap_or(offer.stamp);
+            _ if rejected => {
+                proposal.stamp =
+                    state.votes.values().map(|(_, stamp, _)| *stamp).max().unwrap_or(proposal.stamp);
                 self.tally.retried += 1;
-                self.start(now, offer, Phase::Retry, false, out);
+                self.start_phase(now, proposal, Phase::Retry, false, out);
             }
-            Phase::Fast if !enough => {
+            Phase::Fast if !fast_quorum_reached => {
                 self.tally.slow += 1;
-                self.start(now, offer, Phase::Slow, false, out);
+                self.start_phase(now, proposal, Phase::Slow, false, out);
             }
             _ => {
                 self.tally.fast += (phase == Phase::Fast) as u64;
-                self.stable(offer, out);
+                self.broadcast_stable(proposal, out);
             }
         }
     }
 
-    /// The stable phase: the decision goes to everyone.
-    pub(crate) fn stable(&mut self, offer: Offer<C>, out: &mut Vec<Out<C>>) {
-        self.leads.remove(&offer.cid);
-        self.send_all(Message::Stable(offer), out);
+    /// The stable phase: sends the decision to all members.
+    pub(crate) fn broadcast_stable(&mut self, proposal: Offer<C>, out: &mut Vec<Out<C>>) {
+        self.leader_states.remove(&proposal.cid);
+        self.send_all(Message::Stable(proposal), out);
     }
 
-    /// Timeouts and repeats for all this controller leads.
-    pub(crate) fn push_leads(&mut self, now: Mono, out: &mut Vec<Out<C>>) {
-        let wait = self.rtt().times(2);
-        let least = wait.max(Span::ms(20));
-        let ids: Vec<CommandId> = self.leads.keys().copied().collect();
+    /// Handles timeouts and repeats messages for all commands that this replica leads.
+    pub(crate) fn advance_led_commands(&mut self, now: Mono, out: &mut Vec<Out<C>>) {
+        let fast_timeout = self.rtt().times(2);
+        let min_interval = fast_timeout.max(Span::ms(20));
+        let ids: Vec<CommandId> = self.leader_states.keys().copied().collect();
         for cid in ids {
-            let l = &self.leads[&cid];
-            let lost = self.ballots.get(&cid).is_some_and(|b| *b > l.offer.ballot);
-            let known = self.h.get(&cid).is_some_and(|t| t.status == Status::Stable);
-            if lost || known {
-                self.leads.remove(&cid);
+            let state = &self.leader_states[&cid];
+            let superseded = self.ballots.get(&cid).is_some_and(|promised| *promised > state.proposal.ballot);
+            let decided = self.history.get(&cid).is_some_and(|tuple| tuple.status == Status::Stable);
+            if superseded || decided {
+                self.leader_states.remove(&cid);
                 continue;
             }
-            if l.step == Step::Vote(Phase::Fast) && now - l.began >= wait {
-                self.weigh(now, cid, true, out);
+            if state.step == Step::Vote(Phase::Fast) && now - state.started_at >= fast_timeout {
+                self.evaluate_votes(now, cid, true, out);
             }
-            let n = self.roster.clone();
-            let Some(l) = self.leads.get_mut(&cid) else {
+            let members = self.members.clone();
+            let Some(state) = self.leader_states.get_mut(&cid) else {
                 continue;
             };
-            // Ever more seldom, and not while one of its size may still be on a slow link.
-            let elapsed = Span((now - l.began).0 / 2).min(MOST_SELDOM);
-            let transfer = Span(l.offer.cmd.bytes() as u64 * MICROS_A_BYTE);
-            if now - l.sent >= least.max(elapsed).max(transfer) {
-                l.sent = now;
-                let msg = l.message();
-                let (votes, finds) = (&l.votes, &l.finds);
-                let silent: Vec<MemberId> =
-                    n.into_iter().filter(|k| !votes.contains_key(k) && !finds.contains_key(k)).collect();
-                silent.into_iter().for_each(|k| self.send(k, msg.clone(), out));
+            // The interval grows with the age of the phase, and is no shorter than the time that a
+            // message of this size may take on a slow link.
+            let half_age = Span((now - state.started_at).0 / 2).min(MAX_REPEAT_INTERVAL);
+            let transfer_time = Span(state.proposal.cmd.bytes() as u64 * MICROS_PER_BYTE);
+            if now - state.last_sent >= min_interval.max(half_age).max(transfer_time) {
+                state.last_sent = now;
+                let msg = state.message();
+                let (votes, recover_replies) = (&state.votes, &state.recover_replies);
+                let unanswered: Vec<MemberId> = members
+                    .into_iter()
+                    .filter(|member| !votes.contains_key(member) && !recover_replies.contains_key(member))
+                    .collect();
+                unanswered.into_iter().for_each(|member| self.send(member, msg.clone(), out));
             }
         }
     }
 }
 
-impl<C: Command> Lead<C> {
+impl<C: Command> LeaderState<C> {
+    /// The message that requests the outstanding replies of the current step.
     pub(crate) fn message(&self) -> Message<C> {
-        let o = self.offer.clone();
+        let proposal = self.proposal.clone();
         match self.step {
-            Step::Prepare => Message::Recover(o.cid, o.ballot),
-            Step::Vote(Phase::Fast) => Message::FastPropose(o, self.white),
-            Step::Vote(Phase::Slow) => Message::SlowPropose(o),
-            Step::Vote(Phase::Retry) => Message::Retry(o),
+            Step::Prepare => Message::Recover(proposal.cid, proposal.ballot),
+            Step::Vote(Phase::Fast) => Message::FastPropose(proposal, self.has_whitelist),
+            Step::Vote(Phase::Slow) => Message::SlowPropose(proposal),
+            Step::Vote(Phase::Retry) => Message::Retry(proposal),
         }
     }
 }
--- a/crates/caesar/src/machine.rs
+++ b/crates/caesar/src/machine.rs
@@ -1,148 +1,146 @@
-//! One replica: its state, and where each message goes.
+//! State of one replica, and dispatch of messages and timer ticks.
 use crate::catch_up::CatchUp;
-use crate::pace::ReplicaConfig;
+use crate::config::ReplicaConfig;
+use crate::lead::LeaderState;
 use crate::types::*;
 use primitives::{Mono, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A leader's work on one command under one ballot.
-#[derive(Clone, Debug, Hash)]
-pub(crate) struct Lead<C> {
-    pub offer: Offer<C>,
-    pub step: Step,
-    pub white: bool,
-    /// First reply of each controller in this phase.
-    pub votes: BTreeMap<MemberId, (bool, Stamp, Preds)>,
-    pub finds: BTreeMap<MemberId, Option<Tuple<C>>>,
-    pub began: Mono,
-    pub sent: Mono,
-}
-
-#[derive(Copy, Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Step {
-    Prepare,
-    Vote(Phase),
-}
+/// Clock values reserved ahead with each `LogRecord::Clock`, so that few of them are saved.
+const CLOCK_RESERVE: u64 = 4096;
 
-/// A proposal held back by the wait rule.
+/// A proposal that the wait rule holds back.
 #[derive(Clone, Debug, Hash)]
-pub(crate) struct Waiter<C> {
+pub(crate) struct WaitingProposal<C> {
     pub from: MemberId,
     pub phase: Phase,
-    pub offer: Offer<C>,
+    pub proposal: Offer<C>,
 }
 
-/// One replica of the agreement, for one membership.
+/// One replica of the protocol, for one era (a fixed set of members).
 #[derive(Clone)]
 pub struct Machine<C> {
     pub(crate) me: MemberId,
-    /// Invariant: fixed for the machine's life; another roster is another era.
-    pub(crate) roster: Vec<MemberId>,
-    pub(crate) pace: ReplicaConfig,
-    /// Invariant: above every stamp handled so far.
+    /// Sorted. Invariant: never changes; other members form another era, with machines of its own.
+    pub(crate) members: Vec<MemberId>,
+    pub(crate) config: ReplicaConfig,
+    /// Invariant: above every timestamp handled so far.
     pub(crate) clock: u64,
-    /// Invariant: `clock <= bound`, and `bound` has been saved.
+    /// Clock values below this may be used. Invariant: `clock <= bound`, and `bound` has been saved.
     pub(crate) bound: u64,
-    /// At most one tuple per command.
-    pub(crate) h: BTreeMap<CommandId, Tuple<C>>,
+    /// The paper's H: at most one tuple per command.
+    pub(crate) history: BTreeMap<CommandId, Tuple<C>>,
+    /// The highest ballot promised for each command.
     pub(crate) ballots: BTreeMap<CommandId, Ballot>,
-    pub(crate) waits: BTreeMap<CommandId, Waiter<C>>,
-    pub(crate) leads: BTreeMap<CommandId, Lead<C>>,
-    /// Delivered here. Invariant: a subset of the stable tuples of `h`.
-    pub(crate) done: BTreeSet<CommandId>,
-    /// Commands that keep delivery waiting, since when, and how often recovered.
-    pub(crate) stuck: BTreeMap<CommandId, (Mono, u32)>,
-    pub(crate) heard: BTreeMap<MemberId, Mono>,
+    pub(crate) waiting_proposals: BTreeMap<CommandId, WaitingProposal<C>>,
+    pub(crate) leader_states: BTreeMap<CommandId, LeaderState<C>>,
+    /// Commands delivered here. Invariant: a subset of the stable commands of `history`.
+    pub(crate) delivered_ids: BTreeSet<CommandId>,
+    /// Commands that delay delivery: since when (or when last recovered), and how often recovered.
+    pub(crate) unfinished: BTreeMap<CommandId, (Mono, u32)>,
+    pub(crate) last_heard: BTreeMap<MemberId, Mono>,
+    /// Moving average of the round-trip time to each member.
     pub(crate) rtts: BTreeMap<MemberId, Span>,
-    pub(crate) stables: u64,
+    /// Number of stable commands.
+    pub(crate) stable_count: u64,
+    /// XOR of the hashes of the ids of all stable commands.
     pub(crate) digest: u64,
-    pub(crate) compared: Mono,
+    pub(crate) digest_sent_at: Mono,
     pub(crate) catch_up: CatchUp,
-    /// Of all commands in `h`.
+    /// Total size of all commands in `history`.
     pub(crate) bytes: usize,
-    /// Counters.
+    /// Counters since the start of this replica.
     pub tally: Tally,
 }
 
 impl<C: Command> Machine<C> {
-    /// A replica that holds nothing yet.
-    pub fn new(me: MemberId, mut roster: Vec<MemberId>, pace: ReplicaConfig, now: Mono) -> Machine<C> {
-        roster.sort();
-        let heard = roster.iter().map(|k| (*k, now)).collect();
+    /// Creates a replica without any commands. `members` includes `me`, in any order.
+    pub fn new(me: MemberId, mut members: Vec<MemberId>, config: ReplicaConfig, now: Mono) -> Machine<C> {
+        members.sort();
+        let last_heard = members.iter().map(|member| (*member, now)).collect();
         Machine {
             me,
-            roster,
-            pace,
+            members,
+            config,
             clock: 0,
             bound: 0,
-            h: BTreeMap::new(),
+            history: BTreeMap::new(),
             ballots: BTreeMap::new(),
-            waits: BTreeMap::new(),
-            leads: BTreeMap::new(),
-            done: BTreeSet::new(),
-            stuck: BTreeMap::new(),
-            heard,
+            waiting_proposals: BTreeMap::new(),
+            leader_states: BTreeMap::new(),
+            delivered_ids: BTreeSet::new(),
+            unfinished: BTreeMap::new(),
+            last_heard,
             rtts: BTreeMap::new(),
-            stables: 0,
+            stable_count: 0,
             digest: 0,
-            compared: now,
+            digest_sent_at: now,
             catch_up: CatchUp::new(now),
             bytes: 0,
             tally: Tally::default(),
         }
     }
 
-    /// Carries the clock over into a new era, so that ids stay unique.
+    /// Advances the clock above `k`, the clock of the previous era, so that command ids stay unique.
     pub fn advance_clock(&mut self, k: u64, out: &mut Vec<Out<C>>) {
         self.clock = self.clock.max(k);
-        self.see(k, out);
+        self.observe_clock(k, out);
     }
 
-    /// Equal for machines that have the same to say from now on, times apart.
-    pub fn print(&self) -> u64
+    /// Hash of the protocol state: equal for replicas that behave equally from now on, apart from timing.
+    pub fn state_hash(&self) -> u64
     where
         C: std::hash::Hash,
     {
-        primitives::hash(&(self.clock, &self.h, &self.ballots, &self.waits, &self.leads, &self.done))
+        primitives::hash(&(
+            self.clock,
+            &self.history,
+            &self.ballots,
+            &self.waiting_proposals,
+            &self.leader_states,
+            &self.delivered_ids,
+        ))
     }
 
-    /// The highest timestamp handled so far.
+    /// The logical clock, which is above every timestamp handled so far.
     pub fn clock(&self) -> u64 {
         self.clock
     }
-    /// Commands known here.
+    /// Number of commands known here.
     pub fn size(&self) -> usize {
-        self.h.len()
+        self.history.len()
     }
-    /// Commands known here that were not delivered yet.
+    /// Commands known here that have not been delivered.
     pub fn under_way(&self) -> impl Iterator<Item = (CommandId, &C)> {
-        let open = self.h.iter().filter(|(cid, _)| !self.done.contains(cid));
-        open.map(|(cid, tuple)| (*cid, &tuple.cmd))
+        let undelivered = self.history.iter().filter(|(cid, _)| !self.delivered_ids.contains(cid));
+        undelivered.map(|(cid, tuple)| (*cid, &tuple.cmd))
     }
-    /// What the commands of `size` take, roughly.
+    /// Approximate total size of all commands known here, in bytes; see [`Command::bytes`].
     pub fn bytes(&self) -> usize {
         self.bytes
     }
-    /// All replicas, in order.
+    /// All members, in ascending order.
     pub fn roster(&self) -> &[MemberId] {
-        &self.roster
+        &self.members
     }
     /// Whether the command was delivered here.
     pub fn delivered(&self, cid: CommandId) -> bool {
-        self.done.contains(&cid)
+        self.delivered_ids.contains(&cid)
     }
-    /// When a message of that replica last came in.
-    pub fn last_heard_from(&self, k: MemberId) -> Option<Mono> {
-        self.heard.get(&k).copied()
+    /// When the last message of that member arrived, or the time of this replica's creation if none
+    /// has; `None` if it is no member.
+    pub fn last_heard_from(&self, member_id: MemberId) -> Option<Mono> {
+        self.last_heard.get(&member_id).copied()
     }
 
-    pub(crate) fn n(&self) -> usize {
-        self.roster.len()
+    pub(crate) fn member_count(&self) -> usize {
+        self.members.len()
     }
 
+    /// Sends a message to all members, this replica included.
     pub(crate) fn send_all(&mut self, msg: Message<C>, out: &mut Vec<Out<C>>) {
-        self.tally.sent += self.n() as u64 - 1;
-        out.extend(self.roster.iter().map(|k| Out::Send(*k, msg.clone())));
+        self.tally.sent += self.member_count() as u64 - 1;
+        out.extend(self.members.iter().map(|member| Out::Send(*member, msg.clone())));
     }
 
     pub(crate) fn send(&mut self, to: MemberId, msg: Message<C>, out: &mut Vec<Out<C>>) {
@@ -150,82 +148,92 @@
         out.push(Out::Send(to, msg));
     }
 
-    /// Lifts the clock above `k`, saving a new bound well before it is reached.
-    pub(crate) fn see(&mut self, k: u64, out: &mut Vec<Out<C>>) {
+    /// Advances the clock above `k`; saves a new bound when the reserved clock values are used up.
+    pub(crate) fn observe_clock(&mut self, k: u64, out: &mut Vec<Out<C>>) {
         self.clock = self.clock.max(k + 1);
         if self.clock >= self.bound {
-            self.bound = self.clock + 4096;
+            self.bound = self.clock + CLOCK_RESERVE;
             out.push(Out::Save(LogRecord::Clock(self.bound)));
         }
     }
 
-    /// The current `TS_i`; the next one will be greater.
+    /// Takes the current timestamp, the paper's `TS_i`; each call returns a greater one.
     pub(crate) fn next_stamp(&mut self, out: &mut Vec<Out<C>>) -> Stamp {
         let k = self.clock;
-        self.see(k, out);
+        self.observe_clock(k, out);
         Stamp { k, i: self.me }
     }
 
-    /// `H.Update`, saved; whoever the wait rule holds back is asked again.
-    pub(crate) fn update(&mut self, now: Mono, cid: CommandId, t: Tuple<C>, out: &mut Vec<Out<C>>) {
-        self.note_stable(cid, t.status);
-        if t.status != Status::Stable {
-            self.stuck.entry(cid).or_insert((now, 0));
+    /// `H.Update`: sets the tuple of a command and saves it. Where the command itself is unchanged, only the
+    /// new status is saved.
+    pub(crate) fn update(&mut self, now: Mono, cid: CommandId, tuple: Tuple<C>, out: &mut Vec<Out<C>>) {
+        self.count_stable(cid, tuple.status);
+        if tuple.status != Status::Stable {
+            self.unfinished.entry(cid).or_insert((now, 0));
         }
-        let known = self.h.get(&cid).is_some_and(|was| was.cmd == t.cmd);
-        let record =
-            if known { LogRecord::StatusChanged(cid, t.with(())) } else { LogRecord::Tuple(cid, t.clone()) };
+        let command_unchanged = self.history.get(&cid).is_some_and(|previous| previous.cmd == tuple.cmd);
+        let record = if command_unchanged {
+            LogRecord::StatusChanged(cid, tuple.with(()))
+        } else {
+            LogRecord::Tuple(cid, tuple.clone())
+        };
         out.push(Out::Save(record));
-        self.put(cid, t);
+        self.insert_tuple(cid, tuple);
     }
 
-    pub(crate) fn put(&mut self, cid: CommandId, t: Tuple<C>) {
-        self.bytes += t.cmd.bytes();
-        let was = self.h.insert(cid, t);
-        self.bytes -= was.map_or(0, |w| w.cmd.bytes());
+    /// Sets the tuple of a command without saving it.
+    pub(crate) fn insert_tuple(&mut self, cid: CommandId, tuple: Tuple<C>) {
+        self.bytes += tuple.cmd.bytes();
+        let previous = self.history.insert(cid, tuple);
+        self.bytes -= previous.map_or(0, |old| old.cmd.bytes());
     }
 
-    pub(crate) fn note_stable(&mut self, cid: CommandId, s: Status) {
-        let was = self.h.get(&cid).is_some_and(|t| t.status == Status::Stable);
-        if s == Status::Stable && !was {
-            self.stables += 1;
+    /// Updates count and digest if the command becomes stable; to be called before its tuple is set.
+    pub(crate) fn count_stable(&mut self, cid: CommandId, status: Status) {
+        let was_stable = self.history.get(&cid).is_some_and(|tuple| tuple.status == Status::Stable);
+        if status == Status::Stable && !was_stable {
+            self.stable_count += 1;
             self.digest ^= primitives::hash(&(cid.member_id.0, cid.seq));
         }
     }
 
-    /// Takes a message in; those of strangers are passed over.
+    /// Handles a message; ignores it if `from` is no member.
     pub fn take(&mut self, now: Mono, from: MemberId, msg: Message<C>, out: &mut Vec<Out<C>>) {
-        if !self.roster.contains(&from) {
+        if !self.members.contains(&from) {
             return;
         }
-        self.heard.insert(from, now);
+        self.last_heard.insert(from, now);
         match msg {
-            Message::FastPropose(o, white) => self.on_fast(now, from, o, white, out),
-            Message::SlowPropose(o) => self.on_slow(now, from, o, out),
-            Message::Retry(o) => self.on_retry(now, from, o, out),
-            Message::Stable(o) => self.on_stable(now, o, out),
-            Message::Vote(v) => self.on_vote(now, from, v, out),
-            Message::Recover(cid, b) => self.on_recover(from, cid, b, out),
-            Message::RecoverReply(cid, b, t) => self.on_found(now, from, cid, b, t, out),
-            Message::StableDigest(n, d) => self.on_have(now, from, n, d, out),
+            Message::FastPropose(proposal, has_whitelist) => {
+                self.on_fast(now, from, proposal, has_whitelist, out)
+            }
+            Message::SlowPropose(proposal) => self.on_slow(now, from, proposal, out),
+            Message::Retry(proposal) => self.on_retry(now, from, proposal, out),
+            Message::Stable(proposal) => self.on_stable(now, proposal, out),
+            Message::Vote(vote) => self.on_vote(now, from, vote, out),
+            Message::Recover(cid, ballot) => self.on_recover(from, cid, ballot, out),
+            Message::RecoverReply(cid, ballot, tuple) => {
+                self.on_recover_reply(now, from, cid, ballot, tuple, out)
+            }
+            Message::StableDigest(count, digest) => self.on_stable_digest(now, from, count, digest, out),
             Message::Want(ids) => self.on_want(from, ids, out),
-            Message::RequestStableIds(mark) => self.on_ask_stable(from, mark, out),
-            Message::StableIds(mark, ids) => self.on_stable_ids(now, from, mark, ids, out),
-            Message::StableCommands(offers) => self.on_stables(now, offers, out),
+            Message::RequestStableIds(asked_at) => self.on_request_stable_ids(from, asked_at, out),
+            Message::StableIds(asked_at, ids) => self.on_stable_ids(now, from, asked_at, ids, out),
+            Message::StableCommands(proposals) => self.on_stable_commands(now, proposals, out),
         }
-        self.ask_waiters(now, out);
+        self.reevaluate_waiting(now, out);
     }
 
-    /// To be called every few milliseconds: timeouts, recoveries, catching up.
+    /// Handles timeouts, recoveries and catch-up. To be called every few milliseconds.
     pub fn tick(&mut self, now: Mono, out: &mut Vec<Out<C>>) {
-        self.heard.insert(self.me, now);
-        self.push_leads(now, out);
-        self.chase(now, out);
-        self.push_catch_up(now, out);
-        if now - self.compared >= self.pace.compare {
-            self.compared = now;
-            let have = Message::StableDigest(self.stables, self.digest);
-            self.send_all(have, out);
+        self.last_heard.insert(self.me, now);
+        self.advance_led_commands(now, out);
+        self.recover_unfinished(now, out);
+        self.advance_catch_up(now, out);
+        if now - self.digest_sent_at >= self.config.digest_interval {
+            self.digest_sent_at = now;
+            let digest = Message::StableDigest(self.stable_count, self.digest);
+            self.send_all(digest, out);
         }
     }
 }
--- a/crates/caesar/src/types.rs
+++ b/crates/caesar/src/types.rs
@@ -1,76 +1,84 @@
-//! What the protocol talks about. The names follow the paper (Section V-A).
+//! Types of the protocol. Their names follow the paper (Section V-A).
 use primitives::Mono;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt::Debug;
 
-/// A controller's id within the agreement. Invariant: one id, one disk; a controller
-/// that lost its disk never speaks under its old id again.
+/// Id of a member of the consensus group.
+///
+/// Invariant: an id belongs to one disk. A controller that has lost its disk must not use its
+/// old id again.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u16);
 
-/// A logical timestamp `<k, i>`, ordered by `k`, then by controller.
+/// A logical timestamp `<k, i>`, ordered by `k`, then by member.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Stamp {
-    /// The logical clock.
+    /// Value of the logical clock.
     pub k: u64,
-    /// Whose clock it is.
+    /// The member whose clock it is.
     pub i: MemberId,
 }
 
-/// A command's id: its first leader and that leader's clock when it was proposed.
-/// Invariant: unique for all time, because the clock bound is synced ahead of use.
+/// Id of a command: its first leader, and the clock of that leader when it proposed the command.
+///
+/// Invariant: never used again, not even after a restart, because the bound of the clock is
+/// synced to disk before clock values below it are used.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CommandId {
-    /// Its first leader.
+    /// The first leader.
     pub member_id: MemberId,
-    /// That leader's clock.
+    /// The logical clock of the first leader at the proposal.
     pub seq: u64,
 }
 
-/// A ballot for one command. `n` 0 belongs to the command's first leader;
-/// above that the recovering controller's id makes ballots unique.
+/// A ballot for one command.
+///
+/// Ballot number 0 belongs to the command's first leader. For higher numbers, the id of the
+/// recovering member makes the ballot unique.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// How often the command was recovered.
+    /// Ballot number; each recovery increments it.
     pub n: u32,
-    /// Who recovers it.
+    /// The recovering member.
     pub i: MemberId,
 }
 
-/// Invariant: within one ballot a tuple's status only moves down this list
-/// (rejected and slow-pending stand side by side, both before accepted).
+/// Status of a command at an acceptor.
+///
+/// Invariant: within one ballot, the status only moves down this list. Rejected and
+/// slow-pending are alternatives: neither follows the other.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Status {
-    /// Proposed for a fast decision, and agreed to.
+    /// Proposed in the fast phase.
     FastPending,
-    /// Refused at its timestamp.
+    /// Rejected at its timestamp.
     Rejected,
-    /// Proposed to a classic quorum, and agreed to.
+    /// Agreed to in the slow phase.
     SlowPending,
-    /// Bound to its timestamp by a Retry.
+    /// Accepted by a Retry, with the timestamp given there.
     Accepted,
     /// Decided.
     Stable,
 }
 
-/// Commands that are delivered before another one: the paper's `Pred`.
+/// Predecessors of a command, which are delivered before it: the paper's `Pred`.
 pub type Preds = BTreeSet<CommandId>;
 
-/// What a command must tell the protocol about itself.
+/// A command that the protocol can order.
 pub trait Command: Clone + Debug + PartialEq {
-    /// Whether the order of the two matters. Symmetric.
+    /// Whether the result depends on the order of the two commands. Must be symmetric.
     fn conflicts(&self, other: &Self) -> bool;
-    /// A command without effect that clashes with nothing; it fills ids whose
-    /// command no reachable controller ever saw.
+    /// A command without effect that conflicts with no other. Recovery uses it for ids whose
+    /// command is unknown to all reachable members.
     fn noop() -> Self;
-    /// What it takes in memory and on a link, roughly.
+    /// Approximate size of the command in memory and on the wire, in bytes.
     fn bytes(&self) -> usize {
         std::mem::size_of_val(self)
     }
 }
 
-/// One entry of H: `<c, T, Pred, status, ballot, forced>`.
+/// One entry of the paper's H: `<c, T, Pred, status, ballot, forced>`.
 #[derive(Clone, Debug, PartialEq, Hash, Serialize, Deserialize)]
 pub struct Tuple<C> {
     /// The command.
@@ -79,136 +87,138 @@
     pub stamp: Stamp,
     /// Its predecessors.
     pub pred: Preds,
-    /// How far it has come.
+    /// Status of the command under `ballot`.
     pub status: Status,
-    /// The ballot under which it came there.
+    /// The ballot under which this status was reached.
     pub ballot: Ballot,
-    /// Its predecessors were given by a recovery's whitelist.
+    /// Whether the predecessors are restricted by the whitelist of a recovery.
     pub forced: bool,
 }
 
 impl<C> Tuple<C> {
-    /// The same with another command.
+    /// The same tuple with another command.
     pub(crate) fn with<D>(&self, cmd: D) -> Tuple<D> {
         let (stamp, pred, status) = (self.stamp, self.pred.clone(), self.status);
         Tuple { cmd, stamp, pred, status, ballot: self.ballot, forced: self.forced }
     }
 }
 
-/// What reaches the disk. Replaying all of them in order rebuilds the acceptor.
+/// A record of the log. Replaying all records in order restores the acceptor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LogRecord<C> {
-    /// The tuple now held under the id.
+    /// The current tuple of the command.
     Tuple(CommandId, Tuple<C>),
-    /// The highest ballot promised for the id.
+    /// The highest ballot promised for the command.
     Ballot(CommandId, Ballot),
-    /// No stamp above this one was used before the next such record.
+    /// No clock value above this one is used before the next `Clock` record.
     Clock(u64),
-    /// A new status under the id; its command is the one recorded before.
+    /// The current tuple of the command, without the command itself, which an earlier `Tuple` record holds.
     StatusChanged(CommandId, Tuple<()>),
 }
 
-/// A command on offer under a ballot.
+/// A proposal of a command under a ballot.
 #[derive(Clone, Debug, PartialEq, Hash, Serialize, Deserialize)]
 pub struct Offer<C> {
     /// The command's id.
     pub cid: CommandId,
     /// The command.
     pub cmd: C,
-    /// The ballot it is offered under.
+    /// The ballot of the proposal.
     pub ballot: Ballot,
-    /// The timestamp it is to have.
+    /// The proposed timestamp.
     pub stamp: Stamp,
-    /// The predecessors it is to have.
+    /// The proposed predecessors.
     pub pred: Preds,
 }
 
-/// The phase an acceptor replies to.
+/// A phase in which acceptors vote.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// `FastPropose`: decided by a fast quorum.
+    /// `FastPropose`: needs a fast quorum.
     Fast,
-    /// `SlowPropose`: decided by a classic quorum.
+    /// `SlowPropose`: needs a classic quorum.
     Slow,
-    /// `Retry`: never refused.
+    /// `Retry`: needs a classic quorum and is never rejected.
     Retry,
 }
 
-/// An acceptor's reply; `ok` false is the paper's NACK.
+/// An acceptor's vote on a proposal; `ok == false` is the paper's NACK.
 #[derive(Clone, Debug, PartialEq, Hash, Serialize, Deserialize)]
 pub struct Vote {
     /// The command voted on.
     pub cid: CommandId,
     /// The ballot voted in.
     pub ballot: Ballot,
-    /// The phase replied to.
+    /// The phase voted in.
     pub phase: Phase,
     /// Whether the acceptor agrees.
     pub ok: bool,
-    /// The timestamp agreed to, or a later one suggested instead.
+    /// The timestamp agreed to; in a rejection, a later one that is suggested instead.
     pub stamp: Stamp,
-    /// Predecessors known to the acceptor.
+    /// The predecessors known to the acceptor.
     pub pred: Preds,
 }
 
-/// What replicas say to one another to agree.
+/// A message between members.
 #[derive(Clone, Debug, PartialEq, Hash, Serialize, Deserialize)]
 pub enum Message<C> {
-    /// `Offer::pred` holds the whitelist when the flag says there is one.
+    /// Proposal of the fast phase. If the flag is set, `Offer::pred` holds the whitelist of a recovery.
     FastPropose(Offer<C>, bool),
-    /// The second try, where a fast quorum did not answer in time.
+    /// Proposal of the slow phase, which follows if a fast quorum has not replied in time.
     SlowPropose(Offer<C>),
-    /// The last try, at a timestamp that nobody refuses.
+    /// Proposal that follows a rejection, at the highest timestamp suggested. It is never rejected.
     Retry(Offer<C>),
-    /// The decision.
+    /// The decision on a command.
     Stable(Offer<C>),
-    /// An acceptor's reply.
+    /// A vote of an acceptor.
     Vote(Vote),
-    /// A recovering replica asks for promises, and for what is known.
+    /// Asks for a promise of the ballot and for the tuple of the command.
     Recover(CommandId, Ballot),
-    /// The promise, with the tuple held if any.
+    /// Promises the ballot; holds the sender's tuple of the command, if any.
     RecoverReply(CommandId, Ballot, Option<Tuple<C>>),
-    /// Count and digest of the sender's stable commands.
+    /// Number and digest of the sender's stable commands.
     StableDigest(u64, u64),
-    /// Send these, as far as they are stable.
+    /// Requests those of the commands that are stable at the recipient.
     Want(Vec<CommandId>),
-    /// Which commands are stable there? The time is the sender's own.
+    /// Requests the ids of all stable commands. The time is of the sender's clock.
     RequestStableIds(Mono),
-    /// The answer, with the time of the question.
+    /// The ids of all stable commands, with the time given in the request.
     StableIds(Mono, Vec<CommandId>),
-    /// Some of what was wanted.
+    /// Some of the commands requested by `Want`.
     StableCommands(Vec<Offer<C>>),
 }
 
-/// What the machine asks of its shell. Order matters: an output may leave only
-/// after every `Save` before it has been synced ("sync, then send").
+/// An output of the state machine.
+///
+/// Outputs are ordered: one may take effect only after every `Save` before it has been synced
+/// to disk.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Out<C> {
-    /// Append this to the disk's log.
+    /// Append the record to the log on disk.
     Save(LogRecord<C>),
-    /// Send this to a replica.
+    /// Send the message to a member, which may be the sender itself.
     Send(MemberId, Message<C>),
-    /// The command has come to its place in the order.
+    /// Execute the command: all of its predecessors have been delivered.
     Deliver(CommandId, C),
 }
 
-/// Counters of one replica, from its start on.
+/// Counters of one replica since its start.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// Commands proposed here.
     pub proposed: u64,
-    /// Of those: decided by a fast quorum.
+    /// Commands decided by a fast quorum under this replica's lead.
     pub fast: u64,
-    /// Of those: tried again with a classic quorum.
+    /// Commands for which this replica started the slow phase because no fast quorum replied in time.
     pub slow: u64,
-    /// Of those: decided by a Retry.
+    /// Commands for which this replica started a Retry after a rejection.
     pub retried: u64,
-    /// Commands recovered here.
+    /// Recoveries started here.
     pub recovered: u64,
-    /// Proposals held back by the wait rule.
+    /// How often the wait rule was evaluated with the result that a proposal must wait.
     pub waited: u64,
-    /// Proposals refused.
+    /// Proposals rejected.
     pub nacked: u64,
-    /// Messages sent.
+    /// Messages sent to other members.
     pub sent: u64,
 }
--- a/crates/primitives/src/lib.rs
+++ b/crates/primitives/src/lib.rs
@@ -3,16 +3,16 @@
 #![deny(missing_docs)]
 #![deny(clippy::too_many_lines)]
 
-mod answer_time;
 mod backoff;
 mod ids;
-mod look;
+mod json;
 pub mod metrics;
+mod response_time;
 
-pub use answer_time::*;
 pub use backoff::*;
 pub use ids::*;
-pub use look::*;
+pub use json::*;
+pub use response_time::*;
 
 use std::cmp::Reverse;
 use std::hash::Hash;
