--- a/crates/caesar/src/recover.rs
+++ b/crates/caesar/src/recover.rs
@@ -164,11 +164,10 @@
             }
             let promised = self.ballots.get(&cid).copied().unwrap_or_default();
             let leader = if promised.n == 0 { cid.member_id } else { promised.i };
-            let suspected =
-                self.last_heard.get(&leader).is_none_or(|at| now - *at >= self.config.suspect_after);
+            let silent = self.last_heard.get(&leader).is_none_or(|t| now - *t >= self.config.suspect_after);
             let led_here = leader == self.me;
             let growth = 1 << attempts.min(4);
-            let timeout = if suspected || led_here { base.times(growth) } else { base.times(5 * growth) };
+            let timeout = if silent || led_here { base.times(growth) } else { base.times(5 * growth) };
             if now - since >= timeout + Span(base.0 * position / 2) {
                 self.unfinished.insert(cid, (now, attempts + 1));
                 self.recover(now, cid, out);
