--- a/crates/primitives/src/backoff.rs
+++ b/crates/primitives/src/backoff.rs
@@ -1,31 +1,32 @@
-//! When to repeat what may have been lost.
+//! Exponential backoff for repeated messages.
 use crate::{Mono, Span};
 
-/// Paces repeats: the first after `first`, each later one after twice the pause before it, up
-/// to `longest`.
+/// Schedules the repeats of a message that may have been lost: the first one after an initial
+/// interval, each later one after twice the interval before it, up to a maximum.
 ///
-/// A repeat at a fixed pace multiplies the load of a peer that is slow rather than lost: the
-/// slower it answers, the more it is asked.
+/// Repeats at a fixed interval would multiply the load of a peer that is slow rather than
+/// unreachable: the slower it answers, the more messages it receives.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    pause: Span,
-    longest: Span,
-    next: Mono,
+    interval: Span,
+    max_interval: Span,
+    next_repeat: Mono,
 }
 
 impl Backoff {
-    /// Sent for the first time now.
-    pub fn new(now: Mono, first: Span, longest: Span) -> Backoff {
-        Backoff { pause: first, longest, next: now + first }
+    /// The schedule of a message that is sent for the first time at `now`.
+    pub fn new(now: Mono, initial_interval: Span, max_interval: Span) -> Backoff {
+        Backoff { interval: initial_interval, max_interval, next_repeat: now + initial_interval }
     }
 
-    /// Whether it is time for a repeat, which is then counted as sent.
+    /// Returns true if a repeat is due at `now`, and then schedules the one after it: the caller
+    /// must send the message.
     pub fn due(&mut self, now: Mono) -> bool {
-        if now < self.next {
+        if now < self.next_repeat {
             return false;
         }
-        self.pause = self.pause.times(2).min(self.longest);
-        self.next = now + self.pause;
+        self.interval = self.interval.times(2).min(self.max_interval);
+        self.next_repeat = now + self.interval;
         true
     }
 }
--- a/crates/primitives/src/ids.rs
+++ b/crates/primitives/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers, versions and times.
+//! Identifiers, versions, points in time and time spans.
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::{AddrParseError, SocketAddr};
@@ -11,21 +11,21 @@
 
 /// A point on the local monotonic clock, in microseconds.
 ///
-/// Invariant: never compared with a `Mono` of another process, never wall time.
+/// Invariant: never compared with a `Mono` of another process, and never used as wall-clock time.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Mono(pub u64);
 
-/// A length of time, in microseconds.
+/// A time span, in microseconds.
 #[derive(Copy, Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Span(pub u64);
 
 impl Span {
-    /// A span of so many milliseconds.
+    /// A span of `count` milliseconds.
     pub const fn ms(count: u64) -> Span {
         Span(count * MICROS_PER_MS)
     }
 
-    /// A span of so many seconds.
+    /// A span of `count` seconds.
     pub const fn secs(count: u64) -> Span {
         Span(count * MICROS_PER_SECOND)
     }
@@ -45,8 +45,8 @@
         Span(self.0 * factor)
     }
 
-    /// The span, longer by a tenth: the bound on what a clock that runs slow or fast within
-    /// the allowed drift counts while another one counts `self`.
+    /// The span plus a tenth. This is the upper bound on the time that any other clock measures
+    /// while one clock measures `self`, as long as both keep within the allowed drift.
     pub fn padded(self) -> Span {
         Span(self.0 + self.0 / 10)
     }
@@ -74,7 +74,7 @@
 
 impl Sub<Mono> for Mono {
     type Output = Span;
-    /// Saturates at zero: an earlier point minus a later one is an empty span.
+    /// Saturates at zero: an earlier point minus a later one is a span of zero.
     fn sub(self, earlier: Mono) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
@@ -82,13 +82,13 @@
 
 impl Sub<Span> for Mono {
     type Output = Mono;
-    /// Saturates at the clock's zero.
+    /// Saturates at the zero point of the clock.
     fn sub(self, span: Span) -> Mono {
         Mono(self.0.saturating_sub(span.0))
     }
 }
 
-/// Declares an identifier that wraps an integer and is displayed as that integer.
+/// Declares an identifier type that wraps an integer and displays as that integer.
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident, $of:ty) => {
         $(#[$doc])*
@@ -108,16 +108,18 @@
 );
 id!(
     /// The version of one item of the control state (a row, an origin, a node, a purge scope).
-    /// It grows by one with each change of that item.
+    /// Each change of the item increments it by one.
     Version, u64
 );
 id!(
-    /// The epoch of a leader. Invariant: a process never obeys an epoch lower than the highest
-    /// it has seen.
+    /// The epoch of a leader.
+    ///
+    /// Invariant: a process never obeys an epoch lower than the highest one that it has seen.
     Epoch, u64
 );
 id!(
-    /// The incarnation of a process or of its disk, drawn at random when it starts or is new.
+    /// The incarnation of a process or of its disk: a random number, drawn when the process starts
+    /// or the disk is first used.
     Birth, u64
 );
 
@@ -138,6 +140,6 @@
     }
 }
 
-/// Matches a local question to the answer that is given later. Unique within one process.
+/// Matches a response to the pending request within one process; unique in that process.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token(pub u64);
--- a/crates/primitives/src/lib.rs
+++ b/crates/primitives/src/lib.rs
@@ -1,5 +1,5 @@
-//! Types and functions that every other crate is built on: times and identifiers, stable
-//! hashing, and reading JSON with precise error locations.
+//! Types and functions shared by all other crates: times and identifiers, backoff and response-time
+//! estimation, stable hashing, reading JSON with precise error locations, and histograms.
 #![deny(missing_docs)]
 #![deny(clippy::too_many_lines)]
 
@@ -18,8 +18,8 @@
 use std::hash::Hash;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Hashes a value to 64 bits (XXH3), with the same result in every process and on every
-/// start. Not a cryptographic hash.
+/// Hashes a value to 64 bits (XXH3). The result is the same in every process and after a
+/// restart. Not a cryptographic hash.
 pub fn hash<T: Hash>(value: &T) -> u64 {
     let mut hasher = Xxh3::new();
     value.hash(&mut hasher);
@@ -28,27 +28,28 @@
 
 /// Orders `members` for `key` by rendezvous (highest random weight) hashing.
 ///
-/// `id` gives the number by which a member is hashed. The order is the same in every process
-/// that sees the same members; when a member joins or leaves, the others keep their order.
+/// `id` returns the number by which a member is hashed. The order is the same in every process
+/// with the same members; when a member joins or leaves, the others keep their relative order.
 pub fn rank<K: Hash, T: Clone>(key: &K, members: &[T], id: impl Fn(&T) -> u64) -> Vec<T> {
-    let weigh = |member: &T| (hash(&(key, id(member))), id(member), member.clone());
-    let mut weighed: Vec<(u64, u64, T)> = members.iter().map(weigh).collect();
-    weighed.sort_by_key(|(weight, number, _)| (Reverse(*weight), *number));
-    weighed.into_iter().map(|(.., member)| member).collect()
+    let with_hash = |member: &T| (hash(&(key, id(member))), id(member), member.clone());
+    let mut hashed: Vec<(u64, u64, T)> = members.iter().map(with_hash).collect();
+    hashed.sort_by_key(|(hash, number, _)| (Reverse(*hash), *number));
+    hashed.into_iter().map(|(.., member)| member).collect()
 }
 
-/// The score of a member in weighted rendezvous hashing: each member has the greatest one for a
-/// part of all keys that is in proportion to its weight.
+/// The score of a member in weighted rendezvous hashing. The share of keys for which a member has
+/// the highest score is proportional to its weight; a weight of 0 counts as 1.
 fn score(hashed: u64, weight: u32) -> f64 {
-    /// Bits of a hash that a float holds exactly.
+    /// Number of hash bits used, few enough that an `f64` represents the value and the added
+    /// half exactly.
     const BITS: u32 = f64::MANTISSA_DIGITS - 1;
-    // In (0, 1), both ends excluded.
+    // In the open interval (0, 1).
     let uniform = ((hashed >> (u64::BITS - BITS)) as f64 + 0.5) / (1u64 << BITS) as f64;
     f64::from(weight.max(1)) / -uniform.ln()
 }
 
-/// The first member for `key` by weighted rendezvous hashing, found in one pass. Where all weights
-/// are equal it is the first one of `rank`.
+/// Returns the first member for `key` by weighted rendezvous hashing, in one pass, or `None` if
+/// there are no members. If all weights are equal, it is the first member of [`rank`].
 pub fn first<'a, K: Hash, T>(
     key: &K,
     members: impl Iterator<Item = &'a T>,
