--- a/crates/caesar/src/accept.rs
+++ b/crates/caesar/src/accept.rs
@@ -6,6 +6,7 @@
 
 /// Result of evaluating the wait rule for a proposal.
 enum WaitRuleOutcome {
+    /// A conflicting command with a later timestamp is not settled yet.
     Wait,
     Ok,
     Nack,
--- a/crates/caesar/src/catch_up.rs
+++ b/crates/caesar/src/catch_up.rs
@@ -78,7 +78,7 @@
             self.members.iter().copied().filter(|member_id| *member_id != self.me).collect();
     }
 
-    /// Starts catch-up anew after this member returned: lists received before `now` no longer count.
+    /// Starts catch-up anew after this member returned: lists requested before `now` no longer count.
     pub fn restart_catch_up(&mut self, now: Mono) {
         self.catch_up = CatchUp::new(now);
     }
--- a/crates/caesar/tests/stories.rs
+++ b/crates/caesar/tests/stories.rs
@@ -151,6 +151,7 @@
     assert!(sim.problems.is_empty());
 }
 
+/// A decision that needs a Retry takes four delays, as the printed percentiles show.
 #[test]
 fn given_equal_message_delays_then_a_fast_decision_takes_two_of_them() {
     let plan = Plan { delay: (1000, 1000), sync: (0, 0), ..Plan::default() };
