--- a/crates/ledger/src/claims.rs
+++ b/crates/ledger/src/claims.rs
@@ -4,15 +4,16 @@
 use control_state::*;
 use primitives::{Addr, Mono, Version};
 
-/// The largest outcome that is kept, as a part of the room: one in so many.
-const LARGEST_OUTCOME: usize = 16;
+/// The largest outcome that is stored is this fraction (1/n) of the bytes for keys and outcomes.
+const OUTCOME_SIZE_DIVISOR: usize = 16;
 
-/// An edge's asking for a key.
+/// An edge's claim of a key for a round.
 #[derive(Debug)]
 pub(crate) struct KeyClaim {
     pub key: String,
     pub print: Fingerprint,
     pub round: RoundId,
+    /// Version of the ledger sets by which the edge chose the key's ledgers.
     pub roll: Version,
 }
 
@@ -20,26 +21,27 @@
     pub(crate) fn on_claim(&mut self, now: Mono, from: Addr, claim: KeyClaim, out: &mut Vec<Out>) {
         self.grants.drop_old(now, self.env.window);
         let KeyClaim { key, print, round, roll } = claim;
-        let said = match self.grants.look(&key, print, round) {
+        let said = match self.grants.check_claim(&key, print, round) {
             Claimed::Granted if !self.may_grant(roll) => Claimed::CannotGrant,
-            said => said,
+            answer => answer,
         };
         if said == Claimed::Granted && !self.grants.contains(&key) {
             self.count("granted");
             self.save(now, Kept::Grant { key: key.clone(), print, round }, out);
-            self.leaving.note(&key);
+            self.leaving.add_key(&key);
         }
         out.push(Out::Send(from, Msg::Claimed { key, round, said }));
     }
 
-    /// Invariant: once this ledger has answered a fill for a version of the roll, or was
-    /// opened under it, no round claimed by an earlier version gets its grant, not even one
-    /// that has it already and asks again: what it holds may be another ledger's word.
-    fn may_grant(&mut self, roll: Version) -> bool {
+    /// Invariant: once this ledger has answered a fill for a version of the ledger sets, or
+    /// was opened under it, it grants nothing to a round claimed under an earlier version, not
+    /// even to one that already has the grant and asks again: the grant may have been copied
+    /// from another ledger and must not count as this ledger's own vote.
+    fn may_grant(&mut self, version: Version) -> bool {
         if !self.open {
             return false;
         }
-        if roll < self.fence {
+        if version < self.fence {
             self.count("claims by an earlier roll");
             return false;
         }
@@ -51,14 +53,14 @@
     }
 
     pub(crate) fn on_release(&mut self, now: Mono, key: String, round: RoundId, out: &mut Vec<Out>) {
-        self.recall.released(round);
-        let ours = |g: &Grant| g.round == round && g.whole.is_none();
-        if self.grants.get(&key).is_some_and(ours) {
+        self.recall.add_released(round);
+        let is_releasable = |g: &Grant| g.round == round && g.whole.is_none();
+        if self.grants.get(&key).is_some_and(is_releasable) {
             self.save(now, Kept::Release { key, round }, out);
         }
     }
 
-    /// The outcome of a round; the grant itself may have been missed.
+    /// Stores the outcome of a round, and the grant too if this ledger missed it.
     pub(crate) fn on_outcome(
         &mut self,
         now: Mono,
@@ -71,16 +73,17 @@
         if !self.grants.contains(&key) {
             self.save(now, grant, out);
         }
-        // Too large to keep: later tries are in doubt, as if the answer were lost.
-        if whole.size() <= self.env.most / LARGEST_OUTCOME {
-            self.keep_outcome(now, key.clone(), round, whole, out);
+        // An outcome that is too large is not stored: later retries of the key cannot learn
+        // what became of it, as if the response had been lost.
+        if whole.size() <= self.env.most / OUTCOME_SIZE_DIVISOR {
+            self.store_outcome(now, key.clone(), round, whole, out);
         }
-        self.leaving.note(&key);
+        self.leaving.add_key(&key);
         out.push(Out::Send(from, Msg::Kept { key, round }));
     }
 
-    /// Keeps the outcome of that round; older ones make room.
-    pub(crate) fn keep_outcome(
+    /// Stores the outcome if that round holds the key; evicts the oldest outcomes to make room.
+    pub(crate) fn store_outcome(
         &mut self,
         now: Mono,
         key: String,
@@ -88,20 +91,20 @@
         whole: Whole,
         out: &mut Vec<Out>,
     ) {
-        // Known already, it may be held by others since.
-        let news =
+        // An outcome that is already stored may by now have other holders.
+        let is_new =
             |g: &Grant| g.round == round && g.whole.as_ref().is_none_or(|w| w.holders() != whole.holders());
-        if !self.grants.get(&key).is_some_and(news) {
+        if !self.grants.get(&key).is_some_and(is_new) {
             return;
         }
         self.count("outcomes");
         self.grants.evict_outcomes(self.outcome_room().saturating_sub(whole.size()));
         self.save(now, Kept::Outcome { key: key.clone(), round, whole }, out);
-        self.note_outcome(&key);
+        self.check_replication(&key);
     }
 
-    /// Bytes of grants and outcomes up to which outcomes are kept: an outcome that may as well be
-    /// lost does not take the room of grants.
+    /// Bytes of grants and outcomes together above which outcomes are evicted. Where an outcome
+    /// may be lost without harm, it must not take the room that grants need.
     pub(crate) fn outcome_room(&self) -> usize {
         if self.env.minimal_outcome_copies {
             self.env.most / 4 * 3
--- a/crates/ledger/src/disk_cache.rs
+++ b/crates/ledger/src/disk_cache.rs
@@ -1,25 +1,29 @@
-//! Copies on disk: they outlast edges and, within one boot of the machine, the
-//! ledger's own process, so that origins are spared the rush after a restart.
+//! Cached copies on disk. They outlive edges and, within one boot of the machine, the ledger's
+//! own process, so that origins are spared the load peak after a restart.
 use crate::grants::Kept;
 use crate::ledger::Ledger;
 use control_state::*;
 use primitives::{Addr, Mono, Span};
 use serde::{Deserialize, Serialize};
 
+/// A cached copy of an object, as it is stored on disk.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StoredCopy {
     pub object: Object,
     pub whole: Whole,
+    /// Whether a response may be shared between callers.
     pub public: bool,
-    /// Its age counts from here, and
+    /// Time from which the copy's age counts.
     pub since: Mono,
-    /// invariant: it is not given out after this; counted from this ledger's own asking.
+    /// Invariant: the copy is not served after this; counted from the time of this ledger's own
+    /// request for it.
     pub until: Mono,
-    /// Which boot `until` belongs to: the clock means nothing in another one.
+    /// The boot that `since` and `until` belong to: the clock of another boot is not comparable.
     pub boot: u64,
     /// The purges that the copy is known to be younger than, see `control_state::mark`.
     pub mark: u64,
-    pub sure: Era,
+    /// Era up to which `mark` accounts for all purges, see `is_purge_mark_valid`.
+    pub complete_through_era: Era,
 }
 
 impl BoundedCacheEntry for StoredCopy {
@@ -34,38 +38,45 @@
 pub(crate) type DiskCache = BoundedCache<Object, StoredCopy>;
 
 impl Ledger {
-    /// An edge has a copy to leave here. The asking's time is this ledger's, so a
-    /// word read late makes the copy's life shorter, never longer.
-    pub(crate) fn on_stock_offer(&self, now: Mono, from: Addr, ask: RequestId, out: &mut Vec<Out>) {
+    /// An edge offers a cached copy. The request carries this ledger's own time, from which the
+    /// copy's time-to-live will count: a message read late shortens it and never extends it.
+    pub(crate) fn on_disk_cache_offer(&self, now: Mono, from: Addr, ask: RequestId, out: &mut Vec<Out>) {
         if self.env.room > 0 && self.follow.leased(now) {
             out.push(Out::Send(from, Msg::DiskCacheWant { ask, at: now }));
         }
     }
 
-    pub(crate) fn on_stock_put(&mut self, now: Mono, at: Mono, p: DiskCachePut, out: &mut Vec<Out>) {
-        let (until, since) = (at + p.shown.left, at - p.shown.current_age);
-        let fits = self.env.room > 0 && p.shown.whole.size() <= self.env.room / 4;
-        if until > now && fits && at <= now {
+    /// Stores a copy that this ledger requested at the time `requested_at`.
+    pub(crate) fn on_disk_cache_put(
+        &mut self,
+        now: Mono,
+        requested_at: Mono,
+        put: DiskCachePut,
+        out: &mut Vec<Out>,
+    ) {
+        let (until, since) = (requested_at + put.shown.left, requested_at - put.shown.current_age);
+        let fits = self.env.room > 0 && put.shown.whole.size() <= self.env.room / 4;
+        if until > now && fits && requested_at <= now {
             self.count("stocked");
-            let TransferredCopy { whole, public, .. } = p.shown;
+            let TransferredCopy { whole, public, .. } = put.shown;
             let boot = self.env.boot;
-            let s = StoredCopy {
-                object: p.object,
+            let copy = StoredCopy {
+                object: put.object,
                 whole,
                 public,
                 since,
                 until,
                 boot,
-                mark: p.mark,
-                sure: p.sure,
+                mark: put.mark,
+                complete_through_era: put.sure,
             };
-            self.save(now, Kept::Copy(s), out);
+            self.save(now, Kept::Copy(copy), out);
         }
     }
 
-    /// Given out only under the lease, and only if no purge came since.
+    /// A copy is served only under the lease, and only if no purge has come since it was made.
     #[allow(clippy::too_many_arguments)]
-    pub(crate) fn on_copy_ask(
+    pub(crate) fn on_copy_query(
         &mut self,
         now: Mono,
         from: Addr,
@@ -73,25 +84,26 @@
         object: Object,
         out: &mut Vec<Out>,
     ) {
-        let held = self.disk_cache.get(now, &object).filter(|s| s.boot == self.env.boot);
-        let same = |s: &&StoredCopy| {
-            is_purge_mark_valid(s.sure, self.follow.era) && s.mark == mark(&self.follow.items, &object)
+        let stored = self.disk_cache.get(now, &object).filter(|copy| copy.boot == self.env.boot);
+        let is_unpurged = |copy: &&StoredCopy| {
+            is_purge_mark_valid(copy.complete_through_era, self.follow.era)
+                && copy.mark == mark(&self.follow.items, &object)
         };
-        let held = held.filter(|s| self.follow.leased(now) && same(s));
-        let shown = held.map(|s| TransferredCopy {
-            whole: s.whole.clone(),
-            left: s.until - now,
-            current_age: now - s.since,
-            public: s.public,
+        let valid = stored.filter(|copy| self.follow.leased(now) && is_unpurged(copy));
+        let transferred = valid.map(|copy| TransferredCopy {
+            whole: copy.whole.clone(),
+            left: copy.until - now,
+            current_age: now - copy.since,
+            public: copy.public,
         });
-        let said = shown.map_or(CopyReply::None, |s| CopyReply::Got(Box::new(s)));
+        let said = transferred.map_or(CopyReply::None, |copy| CopyReply::Got(Box::new(copy)));
         self.count(if said != CopyReply::None { "copies given" } else { "copies lacking" });
         out.push(Out::Send(from, Msg::CopyResult { ask, said, purges: 0 }));
     }
 
     pub(crate) fn sweep_disk_cache(&mut self, now: Mono) {
-        if now - self.swept >= Span::secs(1) {
-            self.swept = now;
+        if now - self.last_sweep >= Span::secs(1) {
+            self.last_sweep = now;
             self.disk_cache.drop_old(now);
         }
     }
--- a/crates/ledger/src/fill.rs
+++ b/crates/ledger/src/fill.rs
@@ -1,65 +1,67 @@
-//! Filling a newer set of ledgers: each of them recalls what the older set granted, and
-//! says so to the controller that asks; then the older set may go.
+//! Filling a newer ledger set: each of its members recalls what the older set granted and
+//! reports this to the controller that asked; after that the older set may be removed.
 use crate::grants::Kept;
 use crate::ledger::Ledger;
 use control_state::*;
 use primitives::{Addr, Mono, Version};
 
-/// The fill asked for last.
+/// The latest fill that a controller asked for.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Fill {
-    /// The version of the roll, and the controller that asked.
-    wanted: Option<(Version, Addr)>,
-    /// Invariant: whatever the older set of this version granted before it was fenced is
-    /// on this disk.
-    done: Option<Version>,
+    /// The version of the ledger sets, and the controller that asked.
+    requested: Option<(Version, Addr)>,
+    /// Invariant: everything that the older set of this version granted before it was fenced
+    /// is on this disk.
+    completed: Option<Version>,
 }
 
 impl Fill {
     /// The version that is still to be filled.
     pub(crate) fn due(&self) -> Option<Version> {
-        let wanted = self.wanted.map(|(version, _)| version);
-        wanted.filter(|version| self.done != Some(*version))
+        let requested = self.requested.map(|(version, _)| version);
+        requested.filter(|version| self.completed != Some(*version))
     }
 }
 
 impl Ledger {
-    /// Sent only once this version is in force: from then on a ledger that loses its disk
-    /// comes back knowing it, and so with the fence.
-    pub(crate) fn on_fill(&mut self, now: Mono, from: Addr, roll: Version, out: &mut Vec<Out>) {
-        self.fill.wanted = Some((roll, from));
-        if self.fill.done == Some(roll) {
-            return self.say_filled(out);
+    /// Controllers send this only once the version is in force: from then on a ledger that
+    /// loses its disk starts again with this version, and so with the fence.
+    pub(crate) fn on_fill(&mut self, now: Mono, from: Addr, version: Version, out: &mut Vec<Out>) {
+        self.fill.requested = Some((version, from));
+        if self.fill.completed == Some(version) {
+            return self.report_filled(out);
         }
         self.recall(now, out);
     }
 
-    /// Open, asked to, and going by that very version.
+    /// Whether a fill is under way: this ledger is open and follows the very version to fill.
     pub(crate) fn filling(&self) -> bool {
-        self.open && self.fill.due() == Some(self.roll_version())
+        self.open && self.fill.due() == Some(self.ledger_set_version())
     }
 
-    pub(crate) fn maybe_filled(&mut self, out: &mut Vec<Out>) {
-        let (roll, purpose) = self.recall.task;
-        let heard = self.filling() && purpose == RecallPurpose::Fill && roll == self.roll_version();
-        if heard && self.unheard() <= self.env.losses {
+    /// Completes the fill once enough members of the older set have answered in full.
+    pub(crate) fn maybe_complete_fill(&mut self, out: &mut Vec<Out>) {
+        let (version, purpose) = self.recall.task;
+        let is_current =
+            self.filling() && purpose == RecallPurpose::Fill && version == self.ledger_set_version();
+        if is_current && self.unanswered_members() <= self.env.losses {
             self.count("fills");
-            self.fill.done = Some(roll);
-            self.say_filled(out);
+            self.fill.completed = Some(version);
+            self.report_filled(out);
         }
     }
 
-    fn say_filled(&self, out: &mut Vec<Out>) {
-        if let Some((roll, asker)) = self.fill.wanted {
-            out.push(Out::Send(asker, Msg::Filled { id: self.follow.env.id, roll }));
+    fn report_filled(&self, out: &mut Vec<Out>) {
+        if let Some((roll, controller)) = self.fill.requested {
+            out.push(Out::Send(controller, Msg::Filled { id: self.follow.env.id, roll }));
         }
     }
 
-    /// Grants nothing any more to rounds claimed by an earlier version of the roll.
-    pub(crate) fn raise_fence(&mut self, now: Mono, roll: Version, out: &mut Vec<Out>) {
-        if self.fence < roll {
-            self.fence = roll;
-            self.save(now, Kept::Fence(roll), out);
+    /// From now on grants nothing to rounds claimed under a version before this one.
+    pub(crate) fn raise_fence(&mut self, now: Mono, version: Version, out: &mut Vec<Out>) {
+        if self.fence < version {
+            self.fence = version;
+            self.save(now, Kept::Fence(version), out);
         }
     }
 }
--- a/crates/ledger/src/leave.rs
+++ b/crates/ledger/src/leave.rs
@@ -1,44 +1,45 @@
-//! Leaving in order: what this ledger holds is handed to the other ledgers of each key, so
-//! that it does not end as the only holder of a grant or an outcome.
+//! Orderly leaving: this ledger hands its records to the other ledgers of each key, so that
+//! it does not stop while it is the only holder of a grant or an outcome.
 use crate::ledger::Ledger;
 use control_state::*;
 use primitives::{Addr, Epoch, Mono, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long other ledgers may keep silent before they are told again.
-const AGAIN: Span = Span::ms(300);
+/// Time without an acknowledgement after which records are sent again.
+const RETRY_INTERVAL: Span = Span::ms(300);
 /// How long a leaving ledger waits for others to take its keys.
-const PATIENCE: Span = Span::secs(2);
-/// Bytes of one message; a record that is larger goes by itself.
-const PART: usize = 256 << 10;
+const LEAVE_TIMEOUT: Span = Span::secs(2);
+/// Bytes of one message; a record that is larger is sent alone.
+const MAX_PART_BYTES: usize = 256 << 10;
 
-/// What is left to hand over.
+/// State of this ledger's leaving: the keys that are still to be handed over.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Leaving {
     since: Option<Mono>,
-    last: Mono,
-    next: u64,
-    /// Keys that no other ledger has said it holds.
+    last_sent: Mono,
+    last_request: u64,
+    /// Keys that no other ledger has acknowledged.
     keys: BTreeSet<String>,
-    /// The keys of each message not yet answered.
-    asked: BTreeMap<u64, Vec<String>>,
+    /// The keys of each message that is not yet acknowledged.
+    unacknowledged: BTreeMap<u64, Vec<String>>,
 }
 
 impl Leaving {
-    /// A key that was granted, or whose outcome came, while this ledger leaves.
-    pub(crate) fn note(&mut self, key: &str) {
+    /// Adds a key that was granted, or whose outcome arrived, while this ledger leaves.
+    pub(crate) fn add_key(&mut self, key: &str) {
         if self.since.is_some() {
             self.keys.insert(key.to_string());
         }
     }
 
+    /// Number of keys that are still to be handed over.
     pub(crate) fn left(&self) -> usize {
         self.keys.len()
     }
 }
 
 impl Ledger {
-    pub(crate) fn begin_to_leave(&mut self, now: Mono, out: &mut Vec<Out>) {
+    pub(crate) fn start_leaving(&mut self, now: Mono, out: &mut Vec<Out>) {
         if self.leaving.since.is_some() {
             return;
         }
@@ -52,16 +53,16 @@
 
     pub(crate) fn hand_over(&mut self, now: Mono, out: &mut Vec<Out>) {
         let Some(since) = self.leaving.since else { return };
-        if now - since >= PATIENCE {
+        if now - since >= LEAVE_TIMEOUT {
             self.leaving.keys.clear();
         }
-        let due = self.leaving.last == Mono(0) || now - self.leaving.last >= AGAIN;
+        let due = self.leaving.last_sent == Mono(0) || now - self.leaving.last_sent >= RETRY_INTERVAL;
         if self.leaving.keys.is_empty() || !due {
             return;
         }
-        self.leaving.last = now;
+        self.leaving.last_sent = now;
         self.leaving.keys.retain(|key| self.grants.contains(key));
-        let others = self.others();
+        let others = self.other_ledgers();
         if others.is_empty() {
             self.leaving.keys.clear();
         }
@@ -71,21 +72,22 @@
     }
 
     fn hand_over_to(&mut self, now: Mono, other: Addr, out: &mut Vec<Out>) {
-        let roll = Roll::of(&self.follow.items);
+        let ledger_sets = Roll::of(&self.follow.items);
         let losses = self.env.losses;
-        let named = |key: &str| roll.named(key, losses).iter().any(|n| n.contains(&other));
-        let keys = self.leaving.keys.iter().filter(|key| named(key));
-        // With the outcome, also where others usually do without: this one goes.
+        let is_replica = |key: &str| ledger_sets.named(key, losses).iter().any(|set| set.contains(&other));
+        let keys = self.leaving.keys.iter().filter(|key| is_replica(key));
+        // Includes the outcomes, also where the other replicas usually hold none: the copy
+        // on this ledger goes away.
         let held: Vec<Held> = keys.filter_map(|key| self.grants.get(key).map(|g| g.show(now, key))).collect();
-        for held in in_parts(held, PART).into_iter().filter(|part| !part.is_empty()) {
-            self.leaving.next += 1;
-            let ask = self.leaving.next;
-            self.leaving.asked.insert(ask, held.iter().map(|h| h.key.clone()).collect());
+        for held in split_into_parts(held, MAX_PART_BYTES).into_iter().filter(|part| !part.is_empty()) {
+            self.leaving.last_request += 1;
+            let ask = self.leaving.last_request;
+            self.leaving.unacknowledged.insert(ask, held.iter().map(|h| h.key.clone()).collect());
             out.push(Out::Send(other, Msg::HandOver { ask, held }));
         }
     }
 
-    /// Another ledger leaves: what it holds is taken in before it is told so.
+    /// Another ledger hands over its records: they are saved before they are acknowledged.
     pub(crate) fn on_hand_over(
         &mut self,
         now: Mono,
@@ -94,29 +96,30 @@
         held: Vec<Held>,
         out: &mut Vec<Out>,
     ) {
-        held.into_iter().for_each(|h| self.take_in(now, h, out));
+        held.into_iter().for_each(|record| self.adopt_record(now, record, out));
         out.push(Out::Send(from, Msg::HandedOver { ask }));
     }
 
     pub(crate) fn on_handed_over(&mut self, ask: u64) {
-        for key in self.leaving.asked.remove(&ask).unwrap_or_default() {
+        for key in self.leaving.unacknowledged.remove(&ask).unwrap_or_default() {
             self.leaving.keys.remove(&key);
         }
     }
 }
 
-/// Splits records into parts of at most so many bytes; at least one part, maybe empty.
-pub(crate) fn in_parts(held: Vec<Held>, most: usize) -> Vec<Vec<Held>> {
+/// Splits records into parts of at most `max_bytes`; a record that is larger is a part of its
+/// own. Gives at least one part, which may be empty.
+pub(crate) fn split_into_parts(records: Vec<Held>, max_bytes: usize) -> Vec<Vec<Held>> {
     let mut parts = vec![vec![]];
     let mut bytes = 0;
-    for h in held {
-        bytes += h.size();
-        let full = bytes > most && parts.last().is_some_and(|part: &Vec<Held>| !part.is_empty());
+    for record in records {
+        bytes += record.size();
+        let full = bytes > max_bytes && parts.last().is_some_and(|part: &Vec<Held>| !part.is_empty());
         if full {
-            bytes = h.size();
+            bytes = record.size();
             parts.push(vec![]);
         }
-        parts.last_mut().into_iter().for_each(|part| part.push(h.clone()));
+        parts.last_mut().into_iter().for_each(|part| part.push(record.clone()));
     }
     parts
 }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger itself: its state, its start, and what each input does.
+//! The ledger's state, its start from disk, and the dispatch of its inputs.
 use crate::claims::KeyClaim;
 use crate::compacted_state::CompactedState;
 use crate::disk_cache::DiskCache;
@@ -11,45 +11,48 @@
 use primitives::{Birth, Epoch, Mono, NodeId, Span, Version};
 use std::collections::BTreeMap;
 
+/// Settings of one ledger.
 #[derive(Clone, Debug)]
 pub struct LedgerEnv {
+    /// Identity of this node and its subscription to a controller.
     pub follow: FollowerEnv,
-    /// How long a key stays with its round: the brief's minute, and over it the
-    /// time a granted round may take to leave and to run.
+    /// How long a key stays granted to its round: the promised minute, plus the time a
+    /// granted round may take to leave its edge and to run.
     pub window: Span,
-    /// Bytes of records after which all is written anew in short.
+    /// Bytes of appended records after which the state is written as one compacted record.
     pub compact_after_bytes: usize,
-    /// Bytes of copies kept, none if nought; with all keys they must fit one file of
-    /// the ring.
+    /// Bytes of cached copies on disk; 0 turns the disk cache off. Together with all keys
+    /// they must fit one file of the ring.
     pub room: usize,
-    /// Bytes of keys and outcomes kept; beyond it no key is granted. With `room`
-    /// they must fit one file of the ring, or they could not be written in short.
+    /// Bytes of keys and outcomes above which no key is granted. Together with `room` they
+    /// must fit one file of the ring, or the compacted state could not be written.
     pub most: usize,
-    /// Which boot of the machine this is.
+    /// Identifies the current boot of the machine.
     pub boot: u64,
-    /// Lost disks borne at once; the same at every edge and ledger.
+    /// Disks that may be lost at once without harm; the same at every edge and ledger.
     pub losses: usize,
-    /// A granted round must leave within this; the same at every edge and ledger.
+    /// A granted round must leave its edge within this; the same at every edge and ledger.
     pub leave: Span,
-    /// Outcomes stay where they were given: a key is known at all of its ledgers, its
-    /// outcome at one more than disks may be lost at once.
+    /// Stores outcomes only at the ledgers that received them: a key is known at all of its
+    /// ledgers, its outcome at one more ledger than disks may be lost at once.
     pub minimal_outcome_copies: bool,
 }
 
-/// How often what is over is looked for.
+/// Interval at which expired grants and under-replicated outcomes are looked for.
 const SWEEP: Span = Span::ms(250);
 
-/// Plain data: a copy of it goes on as the original would.
+/// Plain data without handles: a clone continues exactly as the original would.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     pub(crate) env: LedgerEnv,
     pub(crate) follow: Follower,
     pub(crate) grants: Grants,
     pub(crate) disk_cache: DiskCache,
-    pub(crate) swept: Mono,
-    /// Invariant: true only if this disk has missed no grant that still counts.
+    pub(crate) last_sweep: Mono,
+    /// Invariant: true only if this disk has missed no grant that is still valid.
     pub(crate) open: bool,
-    /// Invariant: on disk before any answer that relies on it; see `may_grant`.
+    /// Rounds claimed under an older version of the ledger sets get no grant. Invariant: on
+    /// disk before any answer that relies on it; see `may_grant`.
     pub(crate) fence: Version,
     pub(crate) recall: Recall,
     pub(crate) fill: Fill,
@@ -57,50 +60,51 @@
     pub(crate) replication: Replication,
     pub(crate) boot: Mono,
     pub(crate) written: usize,
-    pub(crate) mended: Mono,
+    pub(crate) last_repair: Mono,
     pub(crate) counts: BTreeMap<&'static str, u64>,
 }
 
 impl Ledger {
-    /// Starts on what the disk holds; `life` is a fresh random number.
-    pub fn start(mut env: LedgerEnv, kept: Vec<Kept>, life: u64, now: Mono, out: &mut Vec<Out>) -> Ledger {
+    /// Starts from the disk's records, oldest first. `life` is a fresh random number: it
+    /// becomes the incarnation of a disk that is new.
+    pub fn start(mut env: LedgerEnv, records: Vec<Kept>, life: u64, now: Mono, out: &mut Vec<Out>) -> Ledger {
         let mut grants = Grants::default();
         let mut disk_cache = DiskCache::new(env.room);
         let mut birth = None;
         let mut open = false;
         let mut fence = Version(0);
-        for k in kept {
-            match &k {
-                Kept::Birth(b) => birth = Some(*b),
+        for record in records {
+            match &record {
+                Kept::Birth(stored) => birth = Some(*stored),
                 Kept::Open => open = true,
-                Kept::Base(b, o, _, copies) | Kept::Whole(b, o, _, _, copies) => {
-                    (birth, open) = (Some(*b), *o);
-                    if let Kept::Whole(_, _, roll, ..) = &k {
-                        fence = *roll;
+                Kept::Base(stored, was_open, _, copies) | Kept::Whole(stored, was_open, _, _, copies) => {
+                    (birth, open) = (Some(*stored), *was_open);
+                    if let Kept::Whole(_, _, version, ..) = &record {
+                        fence = *version;
                     }
                     disk_cache.clear();
-                    copies.iter().for_each(|s| disk_cache.put(s.object.clone(), s.clone()));
+                    copies.iter().for_each(|copy| disk_cache.put(copy.object.clone(), copy.clone()));
                 }
-                Kept::Fence(roll) => fence = fence.max(*roll),
-                Kept::Copy(s) => disk_cache.put(s.object.clone(), s.clone()),
+                Kept::Fence(version) => fence = fence.max(*version),
+                Kept::Copy(copy) => disk_cache.put(copy.object.clone(), copy.clone()),
                 _ => (),
             }
-            grants.apply(k, now);
+            grants.apply(record, now);
         }
-        // Another boot's clock says nothing here.
-        disk_cache.drop_where(|_, s| s.boot != env.boot || s.until <= now);
-        let new = birth.is_none();
+        // Times of another boot cannot be compared with this boot's clock.
+        disk_cache.drop_where(|_, copy| copy.boot != env.boot || copy.until <= now);
+        let is_new = birth.is_none();
         env.follow.birth = birth.unwrap_or(Birth(life));
-        if new {
+        if is_new {
             out.push(Out::Base(Kept::Birth(env.follow.birth).encode()));
-            out.push(Out::Note("the disk is new"));
+            out.push(Out::Note("started on a new disk"));
         }
         let mut ledger = Ledger {
             follow: Follower::new(env.follow.clone()),
             env,
             grants,
             disk_cache,
-            swept: now,
+            last_sweep: now,
             open,
             fence,
             recall: Recall::new(life),
@@ -109,10 +113,10 @@
             replication: Replication::default(),
             boot: now,
             written: 0,
-            mended: now,
+            last_repair: now,
             counts: BTreeMap::new(),
         };
-        // What was forgotten for room since the last short form is in its records yet.
+        // Outcomes evicted since the last compaction are still among the records.
         ledger.grants.evict_outcomes(ledger.outcome_room());
         ledger
     }
@@ -121,23 +125,24 @@
         *self.counts.entry(name).or_default() += 1;
     }
 
-    pub(crate) fn save(&mut self, now: Mono, k: Kept, out: &mut Vec<Out>) {
-        let b = k.encode();
-        self.written += b.len();
-        out.push(Out::Save(b));
-        if let Kept::Copy(s) = &k {
-            self.disk_cache.put(s.object.clone(), s.clone());
+    /// Appends a record to the disk and applies it to the state in memory.
+    pub(crate) fn save(&mut self, now: Mono, record: Kept, out: &mut Vec<Out>) {
+        let encoded = record.encode();
+        self.written += encoded.len();
+        out.push(Out::Save(encoded));
+        if let Kept::Copy(copy) = &record {
+            self.disk_cache.put(copy.object.clone(), copy.clone());
         }
-        self.grants.apply(k, now);
+        self.grants.apply(record, now);
     }
 
     fn health(&self, now: Mono) -> Health {
         let why = match (self.follow.leased(now), self.open) {
             (false, _) => "no setup lease",
-            (_, false) => "disk is new: grants nothing until it has recalled the keys or the window is over",
+            (_, false) => "new disk: grants no keys until they are recalled or the key window has passed",
             _ => "",
         };
-        let mut counts: Vec<_> = self.counts.iter().map(|(k, v)| (*k, *v)).collect();
+        let mut counts: Vec<_> = self.counts.iter().map(|(name, count)| (*name, *count)).collect();
         counts.push(("keys", self.grants.len() as u64));
         counts.push(("key bytes", self.grants.bytes() as u64));
         counts.push(("copies", self.disk_cache.len() as u64));
@@ -149,31 +154,33 @@
         if self.follow.due(now) {
             self.follow.subscribe(now, &[], Epoch(0), out);
         }
-        if now - self.swept >= SWEEP {
-            self.swept = now;
+        if now - self.last_sweep >= SWEEP {
+            self.last_sweep = now;
             self.grants.drop_old(now, self.env.window);
             self.replicate(now, out);
         }
         if self.written > self.env.compact_after_bytes {
             self.written = 0;
             let (birth, open, fence) = (self.follow.env.birth, self.open, self.fence);
-            let short =
+            let compacted =
                 CompactedState { birth, open, fence, grants: &self.grants, disk_cache: &self.disk_cache };
-            out.push(Out::Base(short.encode()));
+            out.push(Out::Base(compacted.encode()));
         }
-        self.mend(now, out);
+        self.repair(now, out);
         self.recall(now, out);
         self.hand_over(now, out);
         self.sweep_disk_cache(now);
     }
 
+    /// The node id of this ledger.
     pub fn id(&self) -> NodeId {
         self.follow.env.id
     }
-    /// Keys held now.
+    /// Number of keys that are granted now.
     pub fn held(&self) -> usize {
         self.grants.len()
     }
+    /// Whether this ledger may grant keys: its disk has missed no grant that is still valid.
     pub fn is_open(&self) -> bool {
         self.open
     }
@@ -183,16 +190,18 @@
     fn step(&mut self, now: Mono, inp: In, out: &mut Vec<Out>) {
         match inp {
             In::Tick => self.tick(now, out),
-            In::Ask(t, ask @ (Ask::Ready | Ask::Drain)) => {
+            In::Ask(token, ask @ (Ask::Ready | Ask::Drain)) => {
                 if matches!(ask, Ask::Drain) {
-                    self.begin_to_leave(now, out);
+                    self.start_leaving(now, out);
                 }
-                out.push(Out::Tell(t, NodeReply::Health(self.health(now))));
+                out.push(Out::Tell(token, NodeReply::Health(self.health(now))));
+            }
+            In::Ask(token, _) => {
+                out.push(Out::Tell(token, NodeReply::Unavailable("a ledger does not serve this request")))
             }
-            In::Ask(t, _) => out.push(Out::Tell(t, NodeReply::Unavailable("not asked of a ledger"))),
             In::Msg(from, m) => match m {
-                Msg::Update(n) => {
-                    self.follow.on_update(now, from, &n, out);
+                Msg::Update(update) => {
+                    self.follow.on_update(now, from, &update, out);
                     self.maybe_open(now, out);
                 }
                 Msg::Claim { key, print, round, roll } => {
@@ -202,11 +211,11 @@
                 Msg::Outcome { key, print, round, whole } => {
                     self.on_outcome(now, from, Kept::Grant { key, print, round }, whole, out)
                 }
-                Msg::DiskCacheOffer(ask) => self.on_stock_offer(now, from, ask, out),
-                Msg::DiskCachePut(at, p) => self.on_stock_put(now, at, *p, out),
-                Msg::CopyQuery { ask, object, .. } => self.on_copy_ask(now, from, ask, object, out),
-                Msg::Digests(d) => self.on_digests(now, from, d, out),
-                Msg::Ranges(r) => self.on_ranges(now, r, out),
+                Msg::DiskCacheOffer(ask) => self.on_disk_cache_offer(now, from, ask, out),
+                Msg::DiskCachePut(at, put) => self.on_disk_cache_put(now, at, *put, out),
+                Msg::CopyQuery { ask, object, .. } => self.on_copy_query(now, from, ask, object, out),
+                Msg::Digests(digests) => self.on_digests(now, from, digests, out),
+                Msg::Ranges(ranges) => self.on_ranges(now, ranges, out),
                 Msg::Recall { ask, roll, purpose } => self.on_recall(now, from, ask, (roll, purpose), out),
                 Msg::Recalled { ask, part, of, held } => {
                     self.on_recalled(now, from, (ask, part, of), held, out)
@@ -215,7 +224,7 @@
                 Msg::HandOver { ask, held } => self.on_hand_over(now, from, ask, held, out),
                 Msg::HandedOver { ask } => {
                     self.on_handed_over(ask);
-                    self.on_replicated(now, from, ask, out);
+                    self.on_transfer_confirmed(now, from, ask, out);
                 }
                 _ => self.count("stray"),
             },
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,4 +1,6 @@
-//! The ledger, a pure part: grants each key to one round and keeps its outcome.
+//! The ledger: a pure state machine that grants each idempotency key to one round and stores
+//! the round's outcome. A round is one attempt to run the request with that key; it may run
+//! once a quorum of the key's ledgers has granted it the key.
 mod claims;
 mod compacted_state;
 mod disk_cache;
--- a/crates/ledger/src/repair.rs
+++ b/crates/ledger/src/repair.rs
@@ -1,22 +1,23 @@
-//! Repair: ledgers compare digests over ranges of keys and take over what they lack.
+//! Repair: ledgers compare digests over ranges of keys and adopt the records that they lack.
 use crate::grants::*;
 use crate::ledger::Ledger;
 use control_state::*;
 use primitives::{Addr, Mono, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Ranges by the top bits of a key's hash.
+/// Number of ranges. A key's range is its hash modulo this.
 const RANGES: usize = 64;
-/// Between two comparisons at least, and for each key held: looking through all keys, here and
-/// at every other ledger, stays a small part of a small processor however many there are.
-const EVERY: Span = Span::secs(2);
-const EVERY_EACH: Span = Span(500);
-const EVERY_MOST: Span = Span::secs(10);
-/// Bytes of records shown in one answer, roughly: where everything differs, after a loss of
-/// power, the rest is shown in the answers to later comparisons.
-const ANSWER: usize = 128 << 10;
-/// By how many ranges the first one shown moves on.
-const TURN: usize = 7;
+/// The interval between two comparisons is this, plus an amount for each key held, up to a
+/// maximum: going through all keys, here and at every other ledger, then takes a small part of
+/// a small processor however many keys there are.
+const MIN_INTERVAL: Span = Span::secs(2);
+const INTERVAL_PER_KEY: Span = Span(500);
+const MAX_INTERVAL: Span = Span::secs(10);
+/// Approximate bytes of records in one answer: where everything differs, after a power loss,
+/// the rest is sent in the answers to later comparisons.
+const MAX_ANSWER_BYTES: usize = 128 << 10;
+/// Number of ranges by which the first range of an answer moves on with time.
+const FIRST_RANGE_STEP: usize = 7;
 
 /// One range of the keys that two ledgers share.
 #[derive(Clone, Default)]
@@ -25,109 +26,116 @@
     grants: Vec<(&'a String, &'a Grant)>,
 }
 
-fn range(key: &str) -> usize {
+fn range_index(key: &str) -> usize {
     primitives::hash(&key) as usize % RANGES
 }
 
 impl Ledger {
-    pub(crate) fn others(&self) -> BTreeSet<Addr> {
+    /// Addresses of all other ledgers in the ledger sets.
+    pub(crate) fn other_ledgers(&self) -> BTreeSet<Addr> {
         let me = self.follow.env.addr;
-        Roll::of(&self.follow.items).seats().map(|s| s.addr).filter(|a| *a != me).collect()
+        Roll::of(&self.follow.items).seats().map(|member| member.addr).filter(|addr| *addr != me).collect()
     }
 
-    /// Grants that are no longer in the making, of a round that is known, each with the
-    /// ledgers that are named for its key, if this one is among them.
+    /// Grants that are no longer in progress and whose round is known, each with the key's
+    /// replicas in every ledger set, if this ledger is one of them.
     fn settled(&self, now: Mono) -> impl Iterator<Item = (&String, &Grant, Vec<Vec<Addr>>)> {
-        let roll = Roll::of(&self.follow.items);
+        let ledger_sets = Roll::of(&self.follow.items);
         let me = self.follow.env.addr;
-        // Where outcomes stay where they are, they do not tell when a grant is made.
-        let known = |g: &Grant| g.whole.is_some() && !self.env.minimal_outcome_copies;
-        let settled = move |g: &Grant| known(g) || (now - g.at > Span::secs(8) && g.round != RoundId::NONE);
-        let named = move |k: &String| roll.named(k, self.env.losses);
-        let all = self.grants.iter().filter(move |(_, g)| settled(g));
-        all.map(move |(k, g)| (k, g, named(k))).filter(move |(.., n)| n.iter().any(|n| n.contains(&me)))
+        // An outcome that is stored at few ledgers does not make a grant settled: the other
+        // replicas do not see it.
+        let has_outcome = |g: &Grant| g.whole.is_some() && !self.env.minimal_outcome_copies;
+        let is_settled = move |g: &Grant| {
+            has_outcome(g) || (now - g.granted_at > Span::secs(8) && g.round != RoundId::NONE)
+        };
+        let replicas = move |key: &String| ledger_sets.named(key, self.env.losses);
+        let settled = self.grants.iter().filter(move |(_, g)| is_settled(g));
+        settled
+            .map(move |(key, g)| (key, g, replicas(key)))
+            .filter(move |(.., r)| r.iter().any(|set| set.contains(&me)))
     }
 
-    /// Only keys that both ledgers are named for count between the two.
+    /// Settled grants of the keys that both this ledger and the other are replicas of.
     fn shared(&self, now: Mono, other: Addr) -> impl Iterator<Item = (&String, &Grant)> {
-        let both = self.settled(now).filter(move |(.., n)| n.iter().any(|n| n.contains(&other)));
-        both.map(|(k, g, _)| (k, g))
+        let both = self.settled(now).filter(move |(.., sets)| sets.iter().any(|set| set.contains(&other)));
+        both.map(|(key, grant, _)| (key, grant))
     }
 
-    fn digest(&self, key: &str, g: &Grant) -> u64 {
-        primitives::hash(&(key, g.round, g.whole.is_some() && !self.env.minimal_outcome_copies))
+    fn digest(&self, key: &str, grant: &Grant) -> u64 {
+        primitives::hash(&(key, grant.round, grant.whole.is_some() && !self.env.minimal_outcome_copies))
     }
 
-    /// What is compared with another ledger, by range, in one pass over the keys.
+    /// The ranges shared with one other ledger, in one pass over the keys.
     fn shared_ranges(&self, now: Mono, other: Addr) -> Vec<SharedRange<'_>> {
         let mut ranges = vec![SharedRange::default(); RANGES];
-        for (key, g) in self.shared(now, other) {
-            let range = &mut ranges[range(key)];
-            range.digest ^= self.digest(key, g);
-            range.grants.push((key, g));
+        for (key, grant) in self.shared(now, other) {
+            let range = &mut ranges[range_index(key)];
+            range.digest ^= self.digest(key, grant);
+            range.grants.push((key, grant));
         }
         ranges
     }
 
-    /// For every other ledger, in one pass over the keys.
+    /// The digests of the ranges shared with every other ledger, in one pass over the keys.
     fn all_digests(&self, now: Mono) -> BTreeMap<Addr, Vec<u64>> {
         let mut all: BTreeMap<Addr, Vec<u64>> =
-            self.others().into_iter().map(|a| (a, vec![0u64; RANGES])).collect();
-        for (key, g, named) in self.settled(now) {
-            let (at, digest) = (range(key), self.digest(key, g));
-            let others: BTreeSet<Addr> = named.into_iter().flatten().collect();
+            self.other_ledgers().into_iter().map(|addr| (addr, vec![0u64; RANGES])).collect();
+        for (key, grant, replicas) in self.settled(now) {
+            let (index, digest) = (range_index(key), self.digest(key, grant));
+            let others: BTreeSet<Addr> = replicas.into_iter().flatten().collect();
             for other in others {
-                all.entry(other).and_modify(|digests| digests[at] ^= digest);
+                all.entry(other).and_modify(|digests| digests[index] ^= digest);
             }
         }
         all
     }
 
-    pub(crate) fn mend(&mut self, now: Mono, out: &mut Vec<Out>) {
-        let pause = EVERY + EVERY_EACH.times(self.grants.len() as u64);
-        if now - self.mended < pause.min(EVERY_MOST) {
+    pub(crate) fn repair(&mut self, now: Mono, out: &mut Vec<Out>) {
+        let interval = MIN_INTERVAL + INTERVAL_PER_KEY.times(self.grants.len() as u64);
+        if now - self.last_repair < interval.min(MAX_INTERVAL) {
             return;
         }
-        self.mended = now;
+        self.last_repair = now;
         let all = self.all_digests(now);
         out.extend(all.into_iter().map(|(other, digests)| Out::Send(other, Msg::Digests(digests))));
     }
 
-    /// A record as other ledgers are to see it.
-    pub(crate) fn show(&self, now: Mono, key: &str, g: &Grant) -> Held {
-        let h = g.show(now, key);
+    /// The record of a grant as other ledgers receive it: without the outcome where outcomes are
+    /// stored at few ledgers only.
+    pub(crate) fn shared_record(&self, now: Mono, key: &str, grant: &Grant) -> Held {
+        let record = grant.show(now, key);
         if self.env.minimal_outcome_copies {
-            Held { whole: None, ..h }
+            Held { whole: None, ..record }
         } else {
-            h
+            record
         }
     }
 
-    /// Shows the ranges that differ.
+    /// Answers with this ledger's records in the ranges whose digests differ.
     pub(crate) fn on_digests(&mut self, now: Mono, from: Addr, theirs: Vec<u64>, out: &mut Vec<Out>) {
         if theirs.len() != RANGES {
             return;
         }
-        let mine = self.shared_ranges(now, from);
+        let ours = self.shared_ranges(now, from);
         let differs = |(_, (range, theirs)): &(usize, (&SharedRange, &u64))| {
             range.digest != **theirs && !range.grants.is_empty()
         };
-        let show = |(index, (range, _)): (usize, (&SharedRange, &u64))| {
-            let held = range.grants.iter().map(|(key, g)| self.show(now, key, g));
+        let records = |(index, (range, _)): (usize, (&SharedRange, &u64))| {
+            let held = range.grants.iter().map(|(key, grant)| self.shared_record(now, key, grant));
             (index as u16, held.collect::<Vec<_>>())
         };
-        // Another time it begins with another range, so that each has its turn.
-        let first = (now.0 / EVERY.0) as usize * TURN % RANGES;
-        let all = mine.iter().zip(&theirs).enumerate();
+        // The first range changes with time, so that each range gets its turn.
+        let first = (now.0 / MIN_INTERVAL.0) as usize * FIRST_RANGE_STEP % RANGES;
+        let all = ours.iter().zip(&theirs).enumerate();
         let in_turn = all.clone().skip(first).chain(all.take(first));
         let mut bytes = 0;
         let ranges: Vec<_> = in_turn
             .filter(differs)
-            .map(show)
+            .map(records)
             .take_while(|(_, held)| {
                 let before = bytes;
                 bytes += held.iter().map(Held::size).sum::<usize>();
-                before < ANSWER
+                before < MAX_ANSWER_BYTES
             })
             .collect();
         if !ranges.is_empty() {
@@ -135,25 +143,30 @@
         }
     }
 
-    /// Takes over keys it does not hold, and outcomes it does not know. Never
-    /// replaces a grant by another: that would forget a promise.
+    /// Adopts keys that this ledger does not hold, and outcomes that it does not know. Never
+    /// replaces one grant by another: that would break a grant already given.
     pub(crate) fn on_ranges(&mut self, now: Mono, ranges: Vec<(u16, Vec<Held>)>, out: &mut Vec<Out>) {
-        ranges.into_iter().flat_map(|(_, h)| h).for_each(|h| self.take_in(now, h, out));
+        ranges.into_iter().flat_map(|(_, held)| held).for_each(|record| self.adopt_record(now, record, out));
     }
 
-    pub(crate) fn take_in(&mut self, now: Mono, h: Held, out: &mut Vec<Out>) {
-        if h.age >= self.env.window {
+    pub(crate) fn adopt_record(&mut self, now: Mono, record: Held, out: &mut Vec<Out>) {
+        if record.age >= self.env.window {
             return;
         }
-        if !self.grants.contains(&h.key) {
+        if !self.grants.contains(&record.key) {
             self.count("mended");
-            self.save(now, Kept::Grant { key: h.key.clone(), print: h.print, round: h.round }, out);
-            // As old as it was there, so that it is not passed round for ever.
-            self.grants.set_at(&h.key, now - h.age);
+            self.save(
+                now,
+                Kept::Grant { key: record.key.clone(), print: record.print, round: record.round },
+                out,
+            );
+            // Keeps the age that the record had at its sender, so that ledgers do not pass it
+            // among themselves for ever.
+            self.grants.set_granted_at(&record.key, now - record.age);
         }
-        let lacks = |g: &Grant| g.whole.is_none();
-        if let (Some(whole), true) = (h.whole, self.grants.get(&h.key).is_some_and(lacks)) {
-            self.keep_outcome(now, h.key, h.round, whole, out);
+        let lacks_outcome = |g: &Grant| g.whole.is_none();
+        if let (Some(whole), true) = (record.whole, self.grants.get(&record.key).is_some_and(lacks_outcome)) {
+            self.store_outcome(now, record.key, record.round, whole, out);
         }
     }
 }
