--- a/crates/ledger/src/disk_cache.rs
+++ b/crates/ledger/src/disk_cache.rs
@@ -11,7 +11,8 @@
 pub struct StoredCopy {
     pub object: Object,
     pub whole: Whole,
-    /// Whether a response may be shared between callers.
+    /// The origin declared the response public: it may serve every caller, with credentials or
+    /// without.
     pub public: bool,
     /// Time from which the copy's age counts.
     pub since: Mono,
@@ -22,7 +23,7 @@
     pub boot: u64,
     /// The purges that the copy is known to be younger than, see `control_state::mark`.
     pub mark: u64,
-    /// Era up to which `mark` accounts for all purges, see `is_purge_mark_valid`.
+    /// An era before which all purges were known when `mark` was made, see `is_purge_mark_valid`.
     pub complete_through_era: Era,
 }
 
@@ -74,7 +75,7 @@
         }
     }
 
-    /// A copy is served only under the lease, and only if no purge has come since it was made.
+    /// Answers an edge's query. A copy is served only under the lease, and only if no purge has come since it was made.
     #[allow(clippy::too_many_arguments)]
     pub(crate) fn on_copy_query(
         &mut self,
--- a/crates/ledger/src/fill.rs
+++ b/crates/ledger/src/fill.rs
@@ -24,8 +24,8 @@
 }
 
 impl Ledger {
-    /// Controllers send this only once the version is in force: from then on a ledger that
-    /// loses its disk starts again with this version, and so with the fence.
+    /// A controller asks for a fill, which it does only once the version is in force: from
+    /// then on a ledger that loses its disk starts again with this version, and so with the fence.
     pub(crate) fn on_fill(&mut self, now: Mono, from: Addr, version: Version, out: &mut Vec<Out>) {
         self.fill.requested = Some((version, from));
         if self.fill.completed == Some(version) {
