--- a/crates/control-state/src/deregistration.rs
+++ b/crates/control-state/src/deregistration.rs
@@ -5,14 +5,14 @@
 use primitives::{Addr, Birth};
 
 impl Origin {
-    /// The origin that a heartbeat describes, as serving.
-    pub fn of(heartbeat: OriginHeartbeat) -> Origin {
+    /// The origin that an `OriginHeartbeat` describes, as serving.
+    pub fn of(origin_heartbeat: OriginHeartbeat) -> Origin {
         Origin {
-            svc: heartbeat.svc,
-            birth: heartbeat.birth,
-            zone: heartbeat.zone,
-            cap: heartbeat.cap,
-            tag: heartbeat.tag,
+            svc: origin_heartbeat.svc,
+            birth: origin_heartbeat.birth,
+            zone: origin_heartbeat.zone,
+            cap: origin_heartbeat.cap,
+            tag: origin_heartbeat.tag,
             standing: Standing::Serving,
         }
     }
@@ -42,7 +42,7 @@
 
     /// A repeated deregistration changes nothing: each change is sent to every edge, and delays the
     /// changes that wait to be in force.
-    pub(crate) fn deregister(&mut self, addr: Addr, birth: Birth) -> Verdict {
+    pub(crate) fn end_registration(&mut self, addr: Addr, birth: Birth) -> Verdict {
         self.gone.insert(addr, birth);
         match self.origin(&addr) {
             None => Verdict::Void(Void::NothingNew),
@@ -51,10 +51,10 @@
         }
     }
 
-    /// Deregisters the origin that has this name at this point in the order of changes.
+    /// Ends the registration of the origin that has this name at this point in the order of changes.
     pub(crate) fn deregister_by_name(&mut self, name: &str) -> Verdict {
         match self.origin_by_tag(name) {
-            Some((addr, birth)) => self.deregister(addr, birth),
+            Some((addr, birth)) => self.end_registration(addr, birth),
             None => Verdict::Void(Void::Absent),
         }
     }
--- a/crates/control-state/src/items.rs
+++ b/crates/control-state/src/items.rs
@@ -67,7 +67,7 @@
 /// in this list) applies to the whole route.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// Cacheable content: cached copies are shared between callers.
+    /// Content that may be cached: cached copies are shared between callers.
     Read,
     /// Each request goes to an origin.
     Plain,
@@ -158,17 +158,17 @@
     pub body: Option<Body>,
 }
 
-/// The state that an origin reports in a heartbeat.
+/// The state that an origin reports in its heartbeats.
 #[derive(Copy, Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Mood {
     Warming,
     Serving,
     Leaving,
-    /// It deregisters with this heartbeat.
+    /// It ends its registration with this `OriginHeartbeat`.
     Gone,
 }
 
-/// A heartbeat of an origin.
+/// One of an origin's heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OriginHeartbeat {
     pub svc: Svc,
@@ -179,7 +179,7 @@
     /// Number of in-flight requests.
     pub occupancy: u32,
     pub mood: Mood,
-    /// Increases with each heartbeat of one incarnation; 0 if the origin does not count them.
+    /// Increases from each of an incarnation's heartbeats to the next; 0 if the origin does not count them.
     pub seq: u64,
     /// The name that this incarnation gives itself; empty if it has none.
     pub tag: String,
@@ -193,8 +193,8 @@
 }
 
 impl OriginHeartbeat {
-    /// Whether this heartbeat, received at `heard`, replaces the previous one from its address. The
-    /// later one counts; but an incarnation that reported that it leaves never serves again, and
+    /// Whether this one, received at `heard`, replaces the previous one from its address. The later
+    /// one counts; but an incarnation that reported that it leaves never serves again, and
     /// among the numbered heartbeats of one incarnation the higher number is the later.
     pub fn replaces(&self, heard: Mono, previous: Option<&(OriginHeartbeat, Mono)>) -> bool {
         let has_ended = |earlier: &OriginHeartbeat| {
--- a/crates/control-state/src/json.rs
+++ b/crates/control-state/src/json.rs
@@ -119,14 +119,14 @@
 
 /// Heartbeats of origins, with their ages.
 pub fn heartbeats_json(heartbeats: &[(OriginHeartbeat, Span)]) -> JsonValue {
-    let heartbeat_json = |(heartbeat, age): &(OriginHeartbeat, Span)| {
+    let heartbeat_json = |(origin_heartbeat, age): &(OriginHeartbeat, Span)| {
         obj(vec![
-            ("service", text(&heartbeat.svc)),
-            ("address", text(heartbeat.addr)),
-            ("zone", text(&heartbeat.zone)),
-            ("mood", text(format!("{:?}", heartbeat.mood).to_lowercase())),
-            ("occupancy", num(heartbeat.occupancy as u64)),
-            ("cap", num(heartbeat.cap as u64)),
+            ("service", text(&origin_heartbeat.svc)),
+            ("address", text(origin_heartbeat.addr)),
+            ("zone", text(&origin_heartbeat.zone)),
+            ("mood", text(format!("{:?}", origin_heartbeat.mood).to_lowercase())),
+            ("occupancy", num(origin_heartbeat.occupancy as u64)),
+            ("cap", num(origin_heartbeat.cap as u64)),
             ("age_ms", num(age.as_ms())),
         ])
     };
--- a/crates/control-state/src/object.rs
+++ b/crates/control-state/src/object.rs
@@ -1,4 +1,4 @@
-//! Identity of cacheable content.
+//! Identity of content that may be cached.
 use crate::items::Svc;
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Site(pub String);
 
-/// Cacheable content of a service.
+/// Content of a service that may be cached.
 ///
 /// Invariant: two requests for one object get the same response from an origin. The name of the
 /// route is not part of the identity: a route may get another host, service or prefix under the same
--- a/crates/control-state/src/parse.rs
+++ b/crates/control-state/src/parse.rs
@@ -105,12 +105,12 @@
     scopes.iter().map(parse_scope).collect()
 }
 
-/// A heartbeat, and `mark` if its origin returns it: the time of the last reply to it, by the clock
+/// An `OriginHeartbeat`, and `mark` if its origin returns it: the time of the last reply to it, by the clock
 /// of the controller that sent the reply.
 pub fn parse_heartbeat(json: &Look) -> Result<(OriginHeartbeat, Option<Mono>)> {
     json.only(&["service", "address", "birth", "zone", "cap", "occupancy", "mood", "mark"])?;
     let mark = json.opt("mark")?.map(|field| field.num(1, 1 << 53)).transpose()?.map(Mono);
-    let heartbeat = OriginHeartbeat {
+    let origin_heartbeat = OriginHeartbeat {
         svc: svc(json)?,
         addr: json.field("address")?.parsed("an address such as 10.0.0.1:80")?,
         birth: Birth(json.field("birth")?.num(1, 1 << 53)?),
@@ -121,5 +121,5 @@
         seq: 0,
         tag: String::new(),
     };
-    Ok((heartbeat, mark))
+    Ok((origin_heartbeat, mark))
 }
--- a/crates/control-state/src/part.rs
+++ b/crates/control-state/src/part.rs
@@ -122,10 +122,10 @@
 pub enum Ask {
     // At controllers.
     Change(Change),
-    /// A heartbeat. If its origin returns the time of the last reply that it got, by the
-    /// controller's clock, the heartbeat is no older than that.
+    /// One of an origin's heartbeats. If its origin returns the time of the last reply that it got, by the
+    /// controller's clock, it is no older than that.
     OriginHeartbeat(OriginHeartbeat, Option<Mono>),
-    /// An origin deregisters, by the name that it gives itself.
+    /// An origin ends its registration, by the name that it gives itself.
     SignOff(String),
     /// Replaces a lost controller by the one now at address `new`.
     Replace {
--- a/crates/control-state/src/state.rs
+++ b/crates/control-state/src/state.rs
@@ -111,7 +111,7 @@
                     Verdict::Void(Void::OtherLife)
                 }
             }
-            Op::SignOff(addr, birth) => self.deregister(*addr, *birth),
+            Op::SignOff(addr, birth) => self.end_registration(*addr, *birth),
             Op::SignOffName(name) => self.deregister_by_name(name),
             Op::Join(id, node) => self.join(*id, node),
             Op::DrainNode(id) => self
--- a/crates/controller/src/acknowledgement.rs
+++ b/crates/controller/src/acknowledgement.rs
@@ -43,7 +43,7 @@
 
     /// Proposes again what was not decided by the end of an era, or whose command was replaced by a
     /// no-op; callers that joined it keep waiting. A removal that nobody waits for is dropped: its
-    /// origin may have sent a heartbeat since.
+    /// origin may have sent heartbeats since.
     pub(crate) fn again(&mut self, now: Mono, pending: Pending, out: &mut Vec<Out>) {
         for request in pending.into_reproposals() {
             let stale_removal = request.callers.is_empty() && matches!(request.change.op, Op::Remove(..));
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -26,8 +26,8 @@
             Ask::Change(c) if ready && self.gathered(now, &c) => {
                 return self.submit(now, Some(token), c, out)
             }
-            Ask::OriginHeartbeat(heartbeat, mark) if self.may_acknowledge_heartbeats(now) => {
-                return self.on_direct_heartbeat(now, token, heartbeat, mark, out)
+            Ask::OriginHeartbeat(origin_heartbeat, mark) if self.may_acknowledge_heartbeats(now) => {
+                return self.on_direct_heartbeat(now, token, origin_heartbeat, mark, out)
             }
             Ask::SignOff(tag) if ready => return self.deregister_origin(now, token, &tag, out),
             Ask::Replace { old, new } => self.replace(now, old, new, out),
@@ -65,7 +65,7 @@
         }
         let ask = match call {
             Call::Change(change) => Ask::Change(change),
-            Call::OriginHeartbeat(heartbeat) => Ask::OriginHeartbeat(heartbeat, None),
+            Call::OriginHeartbeat(origin_heartbeat) => Ask::OriginHeartbeat(origin_heartbeat, None),
             Call::SignOff(tag) => Ask::SignOff(tag),
             Call::Read(held) => Ask::TableIfChanged(held),
         };
--- a/crates/controller/src/contact.rs
+++ b/crates/controller/src/contact.rs
@@ -10,7 +10,7 @@
 use primitives::{Addr, Mono, Span};
 use std::collections::BTreeMap;
 
-/// A heartbeat is acknowledged only with contact to a majority more recent than this. An origin that
+/// Heartbeats are acknowledged only with contact to a majority more recent than this. An origin that
 /// reports here is then known to a majority well before it counts as silent.
 const MAX_CONTACT_AGE_FOR_HEARTBEATS: Span = Span::ms(500);
 
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -43,7 +43,7 @@
     pub(crate) last_stream: u64,
     /// Subscribers that are not registered, and when their first subscription came.
     pub(crate) newcomers: BTreeMap<NodeId, Mono>,
-    /// The last heartbeat of each origin.
+    /// The last `OriginHeartbeat` of each origin.
     pub(crate) beats: BTreeMap<Addr, ReceivedHeartbeat>,
     pub(crate) pause_detector: PauseDetector,
     pub(crate) contact: Contact,
--- a/crates/controller/src/heartbeats.rs
+++ b/crates/controller/src/heartbeats.rs
@@ -8,17 +8,17 @@
 /// Heartbeats older than this are discarded.
 const HEARTBEAT_RETENTION: Span = Span::secs(10);
 
-/// The latest heartbeat of an origin.
+/// The latest `OriginHeartbeat` of an origin.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedHeartbeat {
-    /// The heartbeat, and the earliest time at which it may have been sent.
+    /// What was received, and the earliest time at which it may have been sent.
     pub last: (OriginHeartbeat, Mono),
     /// When this controller received it.
     pub received: Mono,
 }
 
 impl ReceivedHeartbeat {
-    /// The heartbeat itself.
+    /// The `OriginHeartbeat` itself.
     pub(crate) fn beat(&self) -> &OriginHeartbeat {
         &self.last.0
     }
@@ -41,7 +41,7 @@
 
 /// Ticks arrive every 10 ms; a process without a step for this long was paused.
 const MIN_PAUSE: Span = Span::ms(250);
-/// An older heartbeat is neither acknowledged nor registers its origin.
+/// Older heartbeats are neither acknowledged nor register their origins.
 const MAX_HEARTBEAT_AGE: Span = Span::secs(1);
 /// Messages that waited during a pause are received within this time after it.
 const BACKLOG_WINDOW: Span = Span::ms(500);
@@ -69,33 +69,35 @@
 }
 
 impl Controller {
-    /// Handles a heartbeat received directly from its origin. It is dated at the earliest time at
+    /// Handles an `OriginHeartbeat` received directly from its origin. It is dated at the earliest time at
     /// which it may have been sent, so time spent waiting counts towards its age. A leaving origin
     /// is answered only once its drain is in force: from then on no edge sends it requests.
     pub(crate) fn on_direct_heartbeat(
         &mut self,
         now: Mono,
         token: Token,
-        heartbeat: OriginHeartbeat,
+        origin_heartbeat: OriginHeartbeat,
         mark: Option<Mono>,
         out: &mut Vec<Out>,
     ) {
         let read_at = mark.filter(|m| *m <= now).unwrap_or(now);
         let earliest = self.pause_detector.earliest_send_time(now);
         let sent = read_at.min(earliest);
-        self.record_heartbeat(now, heartbeat.clone(), sent);
+        self.record_heartbeat(now, origin_heartbeat.clone(), sent);
         if self.consensus.is_none() || now - earliest > MAX_HEARTBEAT_AGE {
-            return out
-                .push(Out::Tell(token, NodeReply::Unavailable("the heartbeat was delayed for too long")));
+            return out.push(Out::Tell(token, NodeReply::Unavailable("the beat waited too long")));
         }
-        match heartbeat.mood {
-            Mood::Leaving => self.drain_origin(now, token, heartbeat, out),
-            Mood::Gone => {
-                self.submit_unless_pending(now, token, Op::SignOff(heartbeat.addr, heartbeat.birth), out)
-            }
+        match origin_heartbeat.mood {
+            Mood::Leaving => self.drain_origin(now, token, origin_heartbeat, out),
+            Mood::Gone => self.submit_unless_pending(
+                now,
+                token,
+                Op::SignOff(origin_heartbeat.addr, origin_heartbeat.birth),
+                out,
+            ),
             Mood::Warming | Mood::Serving => {
                 if now - sent <= MAX_HEARTBEAT_AGE {
-                    self.register(now, heartbeat, out);
+                    self.register(now, origin_heartbeat, out);
                 }
                 out.push(Out::Tell(token, NodeReply::Acknowledged));
             }
@@ -103,10 +105,11 @@
     }
 
     /// Registers an origin that is not known yet.
-    fn register(&mut self, now: Mono, heartbeat: OriginHeartbeat, out: &mut Vec<Out>) {
-        let known = self.state.origin(&heartbeat.addr).is_some_and(|o| o.birth == heartbeat.birth);
-        if !known && self.is_latest_incarnation(heartbeat.addr, heartbeat.birth) {
-            self.derive(now, Op::Register(heartbeat.addr, Origin::of(heartbeat)), out);
+    fn register(&mut self, now: Mono, origin_heartbeat: OriginHeartbeat, out: &mut Vec<Out>) {
+        let known =
+            self.state.origin(&origin_heartbeat.addr).is_some_and(|o| o.birth == origin_heartbeat.birth);
+        if !known && self.is_latest_incarnation(origin_heartbeat.addr, origin_heartbeat.birth) {
+            self.derive(now, Op::Register(origin_heartbeat.addr, Origin::of(origin_heartbeat)), out);
         }
     }
 
@@ -128,20 +131,23 @@
         self.pause_detector.clocks.insert(from, at);
         if let Some(echoed) = echo.filter(|e| *e <= now) {
             self.contact.note(now, from, echoed);
-            heartbeats
-                .into_iter()
-                .for_each(|(heartbeat, age)| self.record_heartbeat(now, heartbeat, echoed - age));
+            heartbeats.into_iter().for_each(|(origin_heartbeat, age)| {
+                self.record_heartbeat(now, origin_heartbeat, echoed - age)
+            });
         }
     }
 
-    /// Keeps a heartbeat if it replaces the one known of this address.
-    fn record_heartbeat(&mut self, now: Mono, heartbeat: OriginHeartbeat, sent: Mono) {
-        let known = self.beats.get(&heartbeat.addr);
-        if heartbeat.replaces(sent, known.map(|h| &h.last)) {
+    /// Keeps an `OriginHeartbeat` if it replaces the one known of this address.
+    fn record_heartbeat(&mut self, now: Mono, origin_heartbeat: OriginHeartbeat, sent: Mono) {
+        let known = self.beats.get(&origin_heartbeat.addr);
+        if origin_heartbeat.replaces(sent, known.map(|h| &h.last)) {
             // A copy received by another path need not be relayed again.
-            let repeated = known.filter(|h| heartbeat.seq > 0 && *h.beat() == heartbeat);
+            let repeated = known.filter(|h| origin_heartbeat.seq > 0 && *h.beat() == origin_heartbeat);
             let received = repeated.map_or(now, |h| h.received);
-            self.beats.insert(heartbeat.addr, ReceivedHeartbeat { last: (heartbeat, sent), received });
+            self.beats.insert(
+                origin_heartbeat.addr,
+                ReceivedHeartbeat { last: (origin_heartbeat, sent), received },
+            );
         }
     }
 
--- a/crates/controller/src/origin_leaving.rs
+++ b/crates/controller/src/origin_leaving.rs
@@ -15,28 +15,34 @@
         &mut self,
         now: Mono,
         token: Token,
-        heartbeat: OriginHeartbeat,
+        origin_heartbeat: OriginHeartbeat,
         out: &mut Vec<Out>,
     ) {
-        let (addr, birth) = (heartbeat.addr, heartbeat.birth);
+        let (addr, birth) = (origin_heartbeat.addr, origin_heartbeat.birth);
         if self.drain_in_force(addr, birth) {
             return out.push(Out::Tell(token, NodeReply::Acknowledged));
         }
         if self.state.origin(&addr).is_some() || !self.is_latest_incarnation(addr, birth) {
             return self.submit_unless_pending(now, token, Op::Drain(addr, birth), out);
         }
-        self.register_leaving(now, token, heartbeat, out);
+        self.register_leaving(now, token, origin_heartbeat, out);
     }
 
     /// Drains an origin that is not in this controller's state. A registration may be pending elsewhere,
     /// so one command registers it as leaving and, in case it is registered already, drains it.
-    fn register_leaving(&mut self, now: Mono, token: Token, heartbeat: OriginHeartbeat, out: &mut Vec<Out>) {
-        let drain = Op::Drain(heartbeat.addr, heartbeat.birth);
+    fn register_leaving(
+        &mut self,
+        now: Mono,
+        token: Token,
+        origin_heartbeat: OriginHeartbeat,
+        out: &mut Vec<Out>,
+    ) {
+        let drain = Op::Drain(origin_heartbeat.addr, origin_heartbeat.birth);
         if self.join_pending(token, &drain) {
             return;
         }
-        let addr = heartbeat.addr;
-        let origin = Origin { standing: Standing::Leaving, ..Origin::of(heartbeat) };
+        let addr = origin_heartbeat.addr;
+        let origin = Origin { standing: Standing::Leaving, ..Origin::of(origin_heartbeat) };
         let change = |op, token| PendingChange::new(Change { id: None, op }, token);
         let both = vec![change(Op::Register(addr, origin), None), change(drain, Some(token))];
         self.propose(now, both, out);
--- a/crates/controller/src/settings.rs
+++ b/crates/controller/src/settings.rs
@@ -37,7 +37,7 @@
     pub cut_at: usize,
     /// How long an idempotency key stays bound to its attempt.
     pub window: Span,
-    /// An origin that sends no heartbeat for this long is removed.
+    /// An origin that sends no heartbeats for this long is removed.
     pub vanish: Span,
     /// Bytes of log records after which the log is compacted.
     pub compact_after_bytes: usize,
--- a/crates/edge/src/cacheability.rs
+++ b/crates/edge/src/cacheability.rs
@@ -80,7 +80,7 @@
     Cacheability { personal, public, ttl, current_age: Span::secs(age) }
 }
 
-/// How long an object counts as not cacheable after such a response.
+/// How long an object counts as one that may not be cached after such a response.
 const UNSHARED_TTL: Span = Span::secs(10);
 
 impl Edge {
--- a/crates/edge/src/edge.rs
+++ b/crates/edge/src/edge.rs
@@ -21,7 +21,7 @@
 pub struct EdgeEnv {
     /// Identity of the node and how it follows the control state.
     pub follow: FollowerEnv,
-    /// An origin without a heartbeat or a successful probe for this long is not used.
+    /// An origin without heartbeats or a successful probe for this long is not used.
     pub fresh: Span,
     /// How long an origin may take to answer, where no configuration entry sets a time-out.
     pub patience: Span,
@@ -66,7 +66,7 @@
     /// Copies offered to ledgers, by the job that fetched them.
     pub(crate) disk_cache_offers: BTreeMap<u64, Object>,
     pub(crate) outcome_deliveries: Vec<OutcomeDelivery>,
-    /// Objects whose recent responses were not cacheable. Until the given time each caller's
+    /// Objects whose recent responses may not be cached. Until the given time each caller's
     /// request for them goes to the origin by itself.
     pub(crate) unshared: BTreeMap<Object, Mono>,
     pub(crate) body_sizes: BodySizes,
@@ -213,8 +213,8 @@
                 }
                 Ask::Table => out.push(Out::Tell(token, self.own_table(now))),
                 Ask::Change(change) => self.forward_call(now, token, Call::Change(change), out),
-                Ask::OriginHeartbeat(heartbeat, _) => {
-                    self.forward_call(now, token, Call::OriginHeartbeat(heartbeat), out)
+                Ask::OriginHeartbeat(origin_heartbeat, _) => {
+                    self.forward_call(now, token, Call::OriginHeartbeat(origin_heartbeat), out)
                 }
                 Ask::SignOff(tag) => self.forward_call(now, token, Call::SignOff(tag), out),
                 Ask::Read => self.forward_call(now, token, Call::Read(self.follow.digest()), out),
--- a/crates/edge/src/origins.rs
+++ b/crates/edge/src/origins.rs
@@ -7,7 +7,7 @@
 /// What this edge has observed of the origins.
 #[derive(Debug, Default)]
 pub(crate) struct OriginHealth {
-    /// Each origin's latest heartbeat and the latest time, by this edge's clock, at which it was
+    /// Each origin's latest `OriginHeartbeat` and the latest time, by this edge's clock, at which it was
     /// current. Counted back from the time of the edge's request, so that a message that is read
     /// late does not count as fresh.
     pub heartbeats: BTreeMap<Addr, (OriginHeartbeat, Mono)>,
@@ -39,7 +39,7 @@
 
 /// How long an origin is avoided after a failed attempt.
 const FAILURE_COOLDOWN: Span = Span::ms(500);
-/// Unreachable origins are tried again after this time, even without a heartbeat.
+/// Unreachable origins are tried again after this time, even without heartbeats.
 const UNREACHED_COOLDOWN: Span = Span::secs(8);
 /// An origin is slow if it is slower than the service's fastest by this factor, and slower than
 /// `SLOW_MIN`.
@@ -49,29 +49,31 @@
 impl Edge {
     /// Takes the origins' heartbeats from a controller's reply.
     pub(crate) fn record_heartbeats(&mut self, reply: &Reply) {
-        for (heartbeat, age) in &reply.beats {
+        for (origin_heartbeat, age) in &reply.beats {
             let heard = reply.ask - *age;
-            if heartbeat.replaces(heard, self.origin_health.heartbeats.get(&heartbeat.addr)) {
-                self.origin_health.heartbeats.insert(heartbeat.addr, (heartbeat.clone(), heard));
+            if origin_heartbeat.replaces(heard, self.origin_health.heartbeats.get(&origin_heartbeat.addr)) {
+                self.origin_health
+                    .heartbeats
+                    .insert(origin_heartbeat.addr, (origin_heartbeat.clone(), heard));
             }
         }
     }
 
     /// Until when this incarnation at this address counts as present.
     pub(crate) fn fresh_until(&self, addr: &Addr, origin: &Origin) -> Mono {
-        let heartbeat = self.origin_health.heartbeats.get(addr);
-        let by_heartbeat =
-            heartbeat.filter(|(h, _)| h.birth == origin.birth && h.svc == origin.svc && !h.mood.ends());
+        let origin_heartbeat = self.origin_health.heartbeats.get(addr);
+        let by_heartbeat = origin_heartbeat
+            .filter(|(h, _)| h.birth == origin.birth && h.svc == origin.svc && !h.mood.ends());
         let probe = self
             .origin_health
             .probes
             .get(addr)
             .filter(|(s, b, _)| *s == origin.svc && *b == origin.birth)
             .map(|p| p.2);
-        // A later heartbeat that ends the incarnation, or belongs to another one, outweighs an
+        // A later `OriginHeartbeat` that ends the incarnation, or belongs to another one, outweighs an
         // older probe.
         let superseded_before =
-            heartbeat.filter(|_| by_heartbeat.is_none()).map(|(_, t)| *t).unwrap_or_default();
+            origin_heartbeat.filter(|_| by_heartbeat.is_none()).map(|(_, t)| *t).unwrap_or_default();
         let probe = probe.filter(|t| *t > superseded_before);
         let last = by_heartbeat.map(|(_, t)| *t).max(probe).unwrap_or_default();
         if last == Mono(0) {
--- a/crates/edge/src/read.rs
+++ b/crates/edge/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads of cacheable content: each object has a home edge that fetches it once for all.
+//! Reads of content that may be cached: each object has a home edge that fetches it once for all.
 use crate::cacheability::cacheability;
 use crate::copies::Copy;
 use crate::edge::Edge;
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -138,7 +138,7 @@
 
     fn health(&self, now: Mono) -> Health {
         let why = match (self.follow.leased(now), self.open) {
-            (false, _) => "no setup lease",
+            (false, _) => "no configuration lease",
             (_, false) => "new disk: grants no keys until they are recalled or the key window has passed",
             _ => "",
         };
