--- a/crates/runtime/src/http_server/body.rs
+++ b/crates/runtime/src/http_server/body.rs
@@ -1,5 +1,5 @@
-//! Reading a request's body, whose end is beyond doubt or which is denied.
-use super::input::{Input, Stop};
+//! Reads a request's body. A body whose end is ambiguous is rejected.
+use super::input::{Input, ReadError};
 use super::Limits;
 use crate::front::Reply;
 use crate::memory_budget::{MemoryBudget, MemoryReservation};
@@ -7,112 +7,128 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Set aside before anything of a body has come.
-const AHEAD: usize = 64 << 10;
-/// Digits of a chunk's size.
-const DIGITS: usize = 8;
+/// Capacity in bytes reserved before any byte of an unbudgeted body has arrived.
+const INITIAL_CAPACITY: usize = 64 << 10;
+/// Maximum number of hexadecimal digits of a chunk's size.
+const MAX_SIZE_DIGITS: usize = 8;
 
-fn bad(why: &str) -> Reply {
+fn invalid(why: &str) -> Reply {
     Reply::problem(400, "invalid", why)
 }
 
-/// A body, and the memory set aside for it: given back when dropped.
+/// A body and the memory reserved for it, which is released when dropped.
 #[derive(Default)]
-pub struct Held {
+pub struct ReceivedBody {
     pub bytes: Vec<u8>,
     pub memory: Option<MemoryReservation>,
 }
 
-impl Held {
-    /// So much more is to come.
-    fn reach(&mut self, more: usize) -> Result<(), Reply> {
-        let all = self.bytes.len() + more;
-        let fits = self.memory.as_mut().is_none_or(|memory| memory.reach(all, Duration::ZERO));
-        fits.then_some(()).ok_or_else(no_room)
+impl ReceivedBody {
+    /// Reserves memory for `more` bytes beyond those already read.
+    fn reserve(&mut self, more: usize) -> Result<(), Reply> {
+        let total = self.bytes.len() + more;
+        let fits = self.memory.as_mut().is_none_or(|memory| memory.reach(total, Duration::ZERO));
+        fits.then_some(()).ok_or_else(no_memory)
     }
 }
 
-fn no_room() -> Reply {
-    Reply::problem(503, "denied", "no room for the body now").after(1)
+fn no_memory() -> Reply {
+    Reply::problem(503, "denied", "no memory is available for the request body at present").after(1)
 }
 
-pub fn read(i: &mut Input, framed: Body, l: &Limits, room: Option<&Arc<MemoryBudget>>) -> Result<Held, Stop> {
-    let memory = room.and_then(|room| room.take(0, Duration::ZERO));
-    let mut body = Held { bytes: vec![], memory };
-    match framed {
+/// Reads a body with the given framing. With a `budget`, its memory is reserved there first
+/// and the request is rejected with 503 if there is none.
+pub fn read(
+    input: &mut Input,
+    framing: Body,
+    limits: &Limits,
+    budget: Option<&Arc<MemoryBudget>>,
+) -> Result<ReceivedBody, ReadError> {
+    let memory = budget.and_then(|budget| budget.take(0, Duration::ZERO));
+    let mut body = ReceivedBody { bytes: vec![], memory };
+    match framing {
         Body::None => (),
-        Body::Chunked => chunks(i, l, &mut body)?,
+        Body::Chunked => read_chunked(input, limits, &mut body)?,
         Body::Sized(n) => {
-            body.reach(n)?;
-            // What is counted is set aside whole: growing would take up to twice as much.
-            let ahead = if body.memory.is_some() { n } else { n.min(AHEAD) };
-            body.bytes.reserve_exact(ahead);
-            i.exactly(n, &mut body.bytes, l.send)?;
+            body.reserve(n)?;
+            // A budgeted body is allocated in full: growing it would take up to twice as much.
+            let capacity = if body.memory.is_some() { n } else { n.min(INITIAL_CAPACITY) };
+            body.bytes.reserve_exact(capacity);
+            input.read_exactly(n, &mut body.bytes, limits.send)?;
         }
     }
     Ok(body)
 }
 
-fn chunks(i: &mut Input, l: &Limits, body: &mut Held) -> Result<(), Stop> {
-    // Of what is ignored, there may be as much as of a head.
-    let mut spare = l.heads;
+fn read_chunked(input: &mut Input, limits: &Limits, body: &mut ReceivedBody) -> Result<(), ReadError> {
+    // Ignored bytes (extensions and trailers) are limited to the size of a head.
+    let mut overhead_left = limits.heads;
     loop {
-        let end = line(i, DIGITS + spare, wordy, l)?;
-        let (n, digits) = size(&i.unread()[..end])?;
-        spare = spare.checked_sub(end - digits).ok_or_else(wordy)?;
-        i.consume(end + 2);
+        let end = read_line_length(input, MAX_SIZE_DIGITS + overhead_left, overhead_too_large, limits)?;
+        let (n, digits) = parse_chunk_size(&input.unread()[..end])?;
+        overhead_left = overhead_left.checked_sub(end - digits).ok_or_else(overhead_too_large)?;
+        input.consume(end + 2);
         if n == 0 {
             break;
         }
-        if n > l.body - body.bytes.len() {
-            return Err(large(l.body).reply.into());
+        if n > limits.body - body.bytes.len() {
+            return Err(large(limits.body).reply.into());
         }
-        body.reach(n)?;
-        i.exactly(n, &mut body.bytes, l.send)?;
-        let end = line(i, 0, || bad("a chunk is longer than its size"), l)?;
-        i.consume(end + 2);
+        body.reserve(n)?;
+        input.read_exactly(n, &mut body.bytes, limits.send)?;
+        let end = read_line_length(input, 0, || invalid("a chunk has more data than its size"), limits)?;
+        input.consume(end + 2);
     }
     loop {
-        let end = line(i, spare, wordy, l)?;
-        spare = spare.checked_sub(end).ok_or_else(wordy)?;
-        let name = i.unread()[..end].split(|b| *b == b':').next().unwrap_or_default();
-        let named = name.len() < end && std::str::from_utf8(name).is_ok_and(token);
-        i.consume(end + 2);
-        match (end, named) {
+        let end = read_line_length(input, overhead_left, overhead_too_large, limits)?;
+        overhead_left = overhead_left.checked_sub(end).ok_or_else(overhead_too_large)?;
+        let name = input.unread()[..end].split(|b| *b == b':').next().unwrap_or_default();
+        let valid_name = name.len() < end && std::str::from_utf8(name).is_ok_and(token);
+        input.consume(end + 2);
+        match (end, valid_name) {
             (0, _) => return Ok(()),
             (_, true) => (),
-            _ => return Err(bad("a trailer is not a header").into()),
+            _ => return Err(invalid("a trailer of the chunked body is not a valid header field").into()),
         }
     }
 }
 
-fn wordy() -> Reply {
-    Reply::problem(431, "too large", "too much beside the chunks of a body")
+fn overhead_too_large() -> Reply {
+    Reply::problem(431, "too large", "the chunk extensions and trailers are too large")
 }
 
-/// The length of the line that comes next, which has no control characters before
-/// its CRLF; `over` if it has more than `most` bytes.
-fn line(i: &mut Input, most: usize, over: fn() -> Reply, l: &Limits) -> Result<usize, Stop> {
+/// Reads until the next line is complete and returns its length without the CRLF. A line has
+/// no control characters except tabs; one of more than `max` bytes is rejected with
+/// `too_long`.
+fn read_line_length(
+    input: &mut Input,
+    max: usize,
+    too_long: fn() -> Reply,
+    limits: &Limits,
+) -> Result<usize, ReadError> {
     let mut seen = 0;
     loop {
-        let b = i.unread();
-        let odd = |c: u8| c != b'\t' && c.is_ascii_control();
-        match b[seen..].iter().position(|c| odd(*c)).map(|p| seen + p) {
-            Some(p) if p > most => return Err(over().into()),
+        let b = input.unread();
+        let control = |c: u8| c != b'\t' && c.is_ascii_control();
+        match b[seen..].iter().position(|c| control(*c)).map(|p| seen + p) {
+            Some(p) if p > max => return Err(too_long().into()),
             Some(p) if b[p..].starts_with(b"\r\n") => return Ok(p),
             Some(p) if &b[p..] == b"\r" => seen = p,
-            Some(_) => return Err(bad("a line of a chunked body is malformed").into()),
-            None if b.len() > most + 1 => return Err(over().into()),
+            Some(_) => return Err(invalid("a line of the chunked body is malformed").into()),
+            None if b.len() > max + 1 => return Err(too_long().into()),
             None => seen = b.len(),
         }
-        i.more(l.send)?;
+        input.read_more(limits.send)?;
     }
 }
 
-/// A chunk's size and how many digits it has; what follows a `;` is ignored.
-fn size(line: &[u8]) -> Result<(usize, usize), Reply> {
+/// Parses a chunk's size line into the size and its number of digits. Extensions after `;`
+/// are ignored.
+fn parse_chunk_size(line: &[u8]) -> Result<(usize, usize), Reply> {
     let digits = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
-    let ends = matches!(line.get(digits), None | Some(b';')) && (1..=DIGITS).contains(&digits);
+    let valid = matches!(line.get(digits), None | Some(b';')) && (1..=MAX_SIZE_DIGITS).contains(&digits);
     let n = std::str::from_utf8(&line[..digits]).ok().and_then(|s| usize::from_str_radix(s, 16).ok());
-    n.filter(|_| ends).map(|n| (n, digits)).ok_or_else(|| bad("a chunk's size is not plain"))
+    n.filter(|_| valid)
+        .map(|n| (n, digits))
+        .ok_or_else(|| invalid("a chunk's size is not a plain hexadecimal number"))
 }
--- a/crates/runtime/src/http_server/conn.rs
+++ b/crates/runtime/src/http_server/conn.rs
@@ -1,7 +1,9 @@
-//! One connection's requests, one after the other.
+//! Serves the requests of one connection, one after the other.
 use super::head::{self, Head, Persist};
-use super::input::{Input, Stop};
-use super::{answer, body, ClientConnection, Exchange, Hand, HttpRequest, HttpServer, Limits, Service};
+use super::input::{Input, ReadError};
+use super::{
+    answer, body, ClientConnection, Exchange, HttpRequest, HttpServer, InFlightGuard, Limits, Service,
+};
 use crate::front::Reply;
 use crate::memory_budget::MemoryReservation;
 use crate::request_parser::Body;
@@ -10,103 +12,105 @@
 use std::net::Shutdown;
 use std::sync::atomic::Ordering::SeqCst;
 
-/// How long, and for how many bytes, a caller that is told the last word may go
-/// on sending before it is not listened to.
+/// For how long and for how many bytes input is still read and discarded after the last
+/// response on a connection, before the connection is closed.
 const LINGER: (Span, usize) = (Span::secs(1), 1 << 20);
 
 struct Conn<'a> {
-    door: &'a HttpServer,
-    guest: &'a ClientConnection,
+    server: &'a HttpServer,
+    connection: &'a ClientConnection,
     input: Input<'a>,
     limits: Limits,
-    /// The socket's own limit to writes, so that it is set only when it changes.
-    send: Option<Span>,
+    /// The socket's current write timeout, so that it is set only when it changes.
+    write_timeout: Option<Span>,
 }
 
-/// What to do with the connection after a request.
+/// What happens to the connection after a request.
 #[derive(PartialEq, Eq)]
 enum After {
     Next,
-    /// The last answer went out.
+    /// The last response was sent: input is discarded for a moment before the close.
     Linger,
     Close,
 }
 
-pub fn run(door: &HttpServer, guest: &ClientConnection, f: &Service) {
-    let (input, limits) = (Input::new(&guest.stream), (door.limits)());
-    let mut c = Conn { door, guest, input, limits, send: None };
+/// Serves a connection until it ends.
+pub fn run(server: &HttpServer, connection: &ClientConnection, service: &Service) {
+    let (input, limits) = (Input::new(&connection.stream), (server.limits)());
+    let mut conn = Conn { server, connection, input, limits, write_timeout: None };
     let after = loop {
-        let a = c.next(f);
-        if a != After::Next {
-            break a;
+        let after = conn.next(service);
+        if after != After::Next {
+            break after;
         }
     };
     if after == After::Linger {
-        c.linger();
+        conn.linger();
     }
 }
 
 impl Conn<'_> {
-    /// Waits for a request's first byte. Invariant: a door that is shut after this
-    /// began to wait finds it idle; one that was shut before is seen here.
-    fn begin(&mut self) -> bool {
+    /// Waits for a request's first byte; false if there is none. Invariant: a server that is
+    /// shut down after this began to wait sees the connection as idle and ends the wait; a
+    /// shutdown from before is noticed here.
+    fn wait_for_request(&mut self) -> bool {
         if !self.input.unread().is_empty() {
             return true;
         }
         self.input.shrink();
-        self.guest.idle.store(true, SeqCst);
-        if self.door.shut.load(SeqCst) {
-            self.guest.last_look();
+        self.connection.idle.store(true, SeqCst);
+        if self.server.shut.load(SeqCst) {
+            self.connection.shutdown_read();
         }
-        let came = self.input.more(self.limits.idle).is_ok();
-        self.guest.idle.store(false, SeqCst);
-        came
+        let arrived = self.input.read_more(self.limits.idle).is_ok();
+        self.connection.idle.store(false, SeqCst);
+        arrived
     }
 
-    fn next(&mut self, f: &Service) -> After {
-        if !self.begin() {
+    fn next(&mut self, service: &Service) -> After {
+        if !self.wait_for_request() {
             return After::Close;
         }
-        let _hand = Hand::new(self.door);
-        self.limits = (self.door.limits)();
-        match self.request(f) {
+        let _in_flight = InFlightGuard::new(self.server);
+        self.limits = (self.server.limits)();
+        match self.read_request(service) {
             Ok(None) => After::Next,
-            Ok(Some((v, p, _memory))) => {
-                self.door.requests.fetch_add(1, SeqCst);
-                self.serve(f, v, p)
+            Ok(Some((request, persist, _memory))) => {
+                self.server.requests.fetch_add(1, SeqCst);
+                self.serve(service, request, persist)
             }
-            Err(s) => self.last_word(s),
+            Err(error) => self.reject(error),
         }
     }
 
-    fn serve(&mut self, f: &Service, v: HttpRequest, p: Persist) -> After {
-        let asked_head = v.method == "HEAD";
-        let Some(watch) = &f.extras.watch else {
-            return self.answer((f.serve)(v), asked_head, p);
+    fn serve(&mut self, service: &Service, request: HttpRequest, persist: Persist) -> After {
+        let is_head = request.method == "HEAD";
+        let Some(watch) = &service.options.watch else {
+            return self.answer((service.serve)(request), is_head, persist);
         };
-        let (method, target, read) = (v.method.clone(), v.target.clone(), v.read);
-        let r = (f.serve)(v);
+        let (method, target, read) = (request.method.clone(), request.target.clone(), request.read);
+        let reply = (service.serve)(request);
         let answered = crate::now();
-        let (status, bytes) = (r.status, r.body.len());
-        let after = self.answer(r, asked_head, p);
+        let (status, bytes) = (reply.status, reply.body.len());
+        let after = self.answer(reply, is_head, persist);
         let (waited, sending) = (answered - read, crate::now() - answered);
         let written = after != After::Close;
         watch(Exchange { method, target, status, bytes, waited, sending, written });
         after
     }
 
-    /// None if there was but an empty line, which some callers send after a body. The memory of
-    /// its body is taken until the request was answered.
-    fn request(
+    /// Reads one request. None if there was only an empty line, which some callers send after
+    /// a body. The memory reserved for the body is to be held until the response is sent.
+    fn read_request(
         &mut self,
-        f: &Service,
-    ) -> Result<Option<(HttpRequest, Persist, Option<MemoryReservation>)>, Stop> {
-        let (mut seen, mut until) = (0, None);
-        let mut skipped = false;
+        service: &Service,
+    ) -> Result<Option<(HttpRequest, Persist, Option<MemoryReservation>)>, ReadError> {
+        let (mut scanned, mut head_deadline) = (0, None);
+        let mut skipped_empty_line = false;
         let end = loop {
-            match head::end(self.input.unread(), &mut seen)? {
-                Some(2) if !skipped => {
-                    (skipped, seen) = (true, 0);
+            match head::length(self.input.unread(), &mut scanned)? {
+                Some(2) if !skipped_empty_line => {
+                    (skipped_empty_line, scanned) = (true, 0);
                     self.input.consume(2);
                     if self.input.unread().is_empty() {
                         return Ok(None);
@@ -115,72 +119,76 @@
                 }
                 Some(n) if n <= self.limits.heads => break n,
                 None if self.input.unread().len() < self.limits.heads => (),
-                _ => return Err(head::long(self.input.unread(), self.limits.heads).into()),
+                _ => return Err(head::too_long(self.input.unread(), self.limits.heads).into()),
             }
-            let until = *until.get_or_insert_with(|| crate::now() + self.limits.head_wait);
-            let left = until - crate::now();
+            let deadline = *head_deadline.get_or_insert_with(|| crate::now() + self.limits.head_wait);
+            let left = deadline - crate::now();
             if left == Span(0) {
-                return Err(Stop::Slow);
+                return Err(ReadError::TimedOut);
             }
-            self.input.more(left)?;
+            self.input.read_more(left)?;
         };
-        let h = head::parse(&self.input.unread()[..end], &self.limits)?;
+        let head = head::parse(&self.input.unread()[..end], &self.limits)?;
         self.input.consume(end);
-        let Head { method, target, host, heads, body, persist, expects_continue } = h;
-        let more = !matches!(body, Body::None | Body::Sized(0));
-        if expects_continue && more && self.input.unread().is_empty() {
-            (&self.guest.stream).write_all(b"HTTP/1.1 100 Continue\r\n\r\n")?;
+        let Head { method, target, host, heads, body, persist, expects_continue } = head;
+        let has_body = !matches!(body, Body::None | Body::Sized(0));
+        if expects_continue && has_body && self.input.unread().is_empty() {
+            (&self.connection.stream).write_all(b"HTTP/1.1 100 Continue\r\n\r\n")?;
         }
-        let held = body::read(&mut self.input, body, &self.limits, f.extras.bodies.as_ref())?;
-        let (peer, read, body) = (self.guest.peer, crate::now(), held.bytes);
-        Ok(Some((HttpRequest { method, target, host, heads, body, peer, read }, persist, held.memory)))
+        let received = body::read(&mut self.input, body, &self.limits, service.options.bodies.as_ref())?;
+        let (peer, read, body) = (self.connection.peer, crate::now(), received.bytes);
+        Ok(Some((HttpRequest { method, target, host, heads, body, peer, read }, persist, received.memory)))
     }
 
-    fn last_word(&mut self, s: Stop) -> After {
-        let r = match s {
-            Stop::Gone => return After::Close,
-            Stop::Say(r) => r,
-            Stop::Slow => Reply::problem(408, "slow", "the request took too long to come"),
-            Stop::Ended if self.door.shut.load(SeqCst) => {
-                Reply::problem(503, "denied", "this node is leaving").after(1)
+    /// Sends the response to a request that could not be read; it closes the connection.
+    fn reject(&mut self, error: ReadError) -> After {
+        let reply = match error {
+            ReadError::Disconnected => return After::Close,
+            ReadError::Rejected(reply) => reply,
+            ReadError::TimedOut => Reply::problem(408, "slow", "the request was not received in time"),
+            ReadError::UnexpectedEof if self.server.shut.load(SeqCst) => {
+                Reply::problem(503, "denied", "this node is shutting down").after(1)
+            }
+            ReadError::UnexpectedEof => {
+                Reply::problem(400, "invalid", "the connection ended before the request was complete")
             }
-            Stop::Ended => Reply::problem(400, "invalid", "the request broke off"),
         };
-        self.answer(r, false, Persist::No)
+        self.answer(reply, false, Persist::No)
     }
 
-    fn answer(&mut self, r: Reply, asked_head: bool, p: Persist) -> After {
-        let r = r.in_time();
-        let r = match r.status {
-            200..=999 => r,
-            _ => Reply::problem(502, "invalid", "the answer has a status that ends no request"),
+    fn answer(&mut self, reply: Reply, is_head: bool, persist: Persist) -> After {
+        let reply = reply.in_time();
+        let reply = match reply.status {
+            200..=999 => reply,
+            _ => Reply::problem(502, "invalid", "the response has no valid final status"),
         };
-        let p = if self.door.leaving.load(SeqCst) { Persist::No } else { p };
-        let wait = self.limits.send.max(Span::ms(1));
-        if self.send != Some(wait) {
-            let _ = self.guest.stream.set_write_timeout(Some(wait.into()));
-            self.send = Some(wait);
+        let persist = if self.server.leaving.load(SeqCst) { Persist::No } else { persist };
+        let timeout = self.limits.send.max(Span::ms(1));
+        if self.write_timeout != Some(timeout) {
+            let _ = self.connection.stream.set_write_timeout(Some(timeout.into()));
+            self.write_timeout = Some(timeout);
         }
-        match answer::send(&self.guest.stream, &r, asked_head, p) {
+        match answer::send(&self.connection.stream, &reply, is_head, persist) {
             Err(_) => After::Close,
-            Ok(()) if p == Persist::No => After::Linger,
+            Ok(()) if persist == Persist::No => After::Linger,
             Ok(()) => After::Next,
         }
     }
 
-    /// A connection that is closed with input unread takes its answer with it.
+    /// Discards further input: closing a connection with unread input would reset it, and the
+    /// caller could lose the response.
     fn linger(&self) {
-        let (mut s, (wait, most)) = (&self.guest.stream, LINGER);
-        let _ = s.shutdown(Shutdown::Write);
-        let (mut buf, mut n, until) = ([0; 4096], 0, crate::now() + wait);
-        while n < most {
+        let (mut stream, (wait, max_bytes)) = (&self.connection.stream, LINGER);
+        let _ = stream.shutdown(Shutdown::Write);
+        let (mut buf, mut discarded, until) = ([0; 4096], 0, crate::now() + wait);
+        while discarded < max_bytes {
             let left = until - crate::now();
-            if left == Span(0) || s.set_read_timeout(Some(left.max(Span::ms(1)).into())).is_err() {
+            if left == Span(0) || stream.set_read_timeout(Some(left.max(Span::ms(1)).into())).is_err() {
                 return;
             }
-            match s.read(&mut buf) {
+            match stream.read(&mut buf) {
                 Ok(0) | Err(_) => return,
-                Ok(k) => n += k,
+                Ok(n) => discarded += n,
             }
         }
     }
--- a/crates/runtime/src/http_server/exchange.rs
+++ b/crates/runtime/src/http_server/exchange.rs
@@ -1,4 +1,4 @@
-//! What answers requests, and what is told of each once its answer was written.
+//! The request handler and the observer that is called after each response.
 use super::HttpRequest;
 use crate::front::Reply;
 use crate::memory_budget::MemoryBudget;
@@ -7,35 +7,37 @@
 
 pub(super) type Serve = dyn Fn(HttpRequest) -> Reply + Send + Sync;
 
-/// How one request went, for whoever watches.
+/// Summary of one request and its response, for an observer.
 #[derive(Clone, Debug)]
 pub struct Exchange {
     pub method: String,
     pub target: String,
     pub status: u16,
-    /// Bytes of the answer's body.
+    /// Size of the response body in bytes.
     pub bytes: usize,
-    /// From the request's last byte to the answer, and from there to its last byte written.
+    /// Time from the request's last byte to the handler's reply.
     pub waited: Span,
+    /// Time from the handler's reply to the last byte of the response written.
     pub sending: Span,
-    /// Whether the answer was written whole.
+    /// Whether the response was written completely.
     pub written: bool,
 }
 
-/// Is told how each request went, on its connection's thread.
+/// Called after each response, on the connection's thread.
 pub type ExchangeObserver = dyn Fn(Exchange) + Send + Sync;
 
-/// What a door may have besides.
+/// Optional features of a server.
 #[derive(Clone, Default)]
 pub struct ServerOptions {
-    /// Told of each request once its answer was written.
+    /// Called after each response was written.
     pub watch: Option<Arc<ExchangeObserver>>,
-    /// Memory for the bodies of all requests in hand; without it they are not counted.
+    /// Memory budget for the bodies of all in-flight requests; without it they are not limited
+    /// together.
     pub bodies: Option<Arc<MemoryBudget>>,
 }
 
-/// What answers requests, and what stands beside it.
+/// The request handler with the server's options.
 pub(super) struct Service {
     pub serve: Box<Serve>,
-    pub extras: ServerOptions,
+    pub options: ServerOptions,
 }
--- a/crates/runtime/src/http_server/head.rs
+++ b/crates/runtime/src/http_server/head.rs
@@ -1,21 +1,21 @@
-//! A request's head: one reading of it, or none.
+//! Parses a request's head. A head that can be read in more than one way is rejected.
 use super::Limits;
 use crate::front::Reply;
 use crate::request_parser::{framing, large, Body, UNENCODED};
 use control_state::Headers;
 use httparse::{Error, Request, Status, EMPTY_HEADER};
 
-/// What becomes of the connection after the answer.
+/// Whether the connection stays open after the response.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub enum Persist {
     No,
-    /// As HTTP/1.1 has it unless told otherwise.
+    /// The default of HTTP/1.1; needs no `connection` field.
     Yes,
-    /// An HTTP/1.0 caller asked for it and is told that it is so.
-    Told,
+    /// Requested by an HTTP/1.0 caller, and confirmed with `connection: keep-alive`.
+    Announced,
 }
 
-/// A head, checked; its body is still to come.
+/// A validated head; the body has not been read yet.
 pub struct Head {
     pub method: String,
     pub target: String,
@@ -23,102 +23,110 @@
     pub heads: Headers,
     pub body: Body,
     pub persist: Persist,
-    /// It waits for a 100 before it sends its body.
+    /// The caller waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
-const FIELDS: usize = 100;
-const TARGET: usize = 8000;
+/// Maximum number of header fields.
+const MAX_FIELDS: usize = 100;
+/// Maximum bytes of the request target.
+const MAX_TARGET_BYTES: usize = 8000;
 
-fn bad(why: &str) -> Reply {
+fn invalid(why: &str) -> Reply {
     Reply::problem(400, "invalid", why)
 }
 
-/// The head's length, once all of it is there. `seen` bytes were looked at before.
-pub fn end(b: &[u8], seen: &mut usize) -> Result<Option<usize>, Reply> {
-    let mut at = *seen;
+/// The head's length including its empty line, once `b` holds all of it. The first `scanned`
+/// bytes were examined by an earlier call.
+pub fn length(b: &[u8], scanned: &mut usize) -> Result<Option<usize>, Reply> {
+    let mut at = *scanned;
     while let Some(i) = b[at..].iter().position(|c| *c == b'\n').map(|p| at + p) {
         if i == 0 || b[i - 1] != b'\r' {
-            return Err(bad("a line does not end in CRLF"));
+            return Err(invalid("a line of the head does not end in CRLF"));
         }
         if i == 1 || b[i - 2] == b'\n' {
             return Ok(Some(i + 1));
         }
         at = i + 1;
     }
-    *seen = b.len();
+    *scanned = b.len();
     Ok(None)
 }
 
-/// Why `b`, which is no whole head yet, has become too long for one.
-pub fn long(b: &[u8], most: usize) -> Reply {
+/// The response to an incomplete head `b` that has exceeded the limit of `max` bytes.
+pub fn too_long(b: &[u8], max: usize) -> Reply {
     if b.contains(&b'\n') {
-        return Reply::problem(431, "too large", format!("a head may have {most} bytes"));
+        return Reply::problem(431, "too large", format!("the head may have at most {max} bytes"));
     }
-    Reply::problem(414, "too large", format!("the path may have {TARGET} bytes"))
+    Reply::problem(414, "too large", format!("the request target may have at most {MAX_TARGET_BYTES} bytes"))
 }
 
-fn names(h: &Headers, field: &str, word: &str) -> bool {
-    let is = |s: &[u8]| s.trim_ascii().eq_ignore_ascii_case(word.as_bytes());
-    h.all(field).any(|v| v.split(|b| *b == b',').any(is))
+/// Whether the comma-separated list in `field` contains `token`, ignoring case.
+fn has_token(h: &Headers, field: &str, token: &str) -> bool {
+    let matches = |s: &[u8]| s.trim_ascii().eq_ignore_ascii_case(token.as_bytes());
+    h.all(field).any(|v| v.split(|b| *b == b',').any(matches))
 }
 
-fn host(h: &Headers, old: bool) -> Result<String, Reply> {
-    let good = |v: &[u8]| v.iter().all(|b| b.is_ascii_graphic() && !b"/\\@?#,\"<>".contains(b));
+fn host(h: &Headers, http_1_0: bool) -> Result<String, Reply> {
+    let valid = |v: &[u8]| v.iter().all(|b| b.is_ascii_graphic() && !b"/\\@?#,\"<>".contains(b));
     let mut all = h.all("host");
     match (all.next(), all.next()) {
-        (Some(v), None) if good(v) => Ok(String::from_utf8_lossy(v).into_owned()),
-        (None, None) if old => Ok(String::new()),
-        _ => Err(bad("one Host is wanted")),
+        (Some(v), None) if valid(v) => Ok(String::from_utf8_lossy(v).into_owned()),
+        (None, None) if http_1_0 => Ok(String::new()),
+        _ => Err(invalid("exactly one valid Host field is required")),
     }
 }
 
-fn persist(h: &Headers, old: bool) -> Persist {
-    match (names(h, "connection", "close"), old) {
+fn persist(h: &Headers, http_1_0: bool) -> Persist {
+    match (has_token(h, "connection", "close"), http_1_0) {
         (false, false) => Persist::Yes,
-        (false, true) if names(h, "connection", "keep-alive") => Persist::Told,
+        (false, true) if has_token(h, "connection", "keep-alive") => Persist::Announced,
         _ => Persist::No,
     }
 }
 
-/// Invariant: `b` ends where `end` says.
-pub fn parse(b: &[u8], l: &Limits) -> Result<Head, Reply> {
-    let mut all = [EMPTY_HEADER; FIELDS];
-    let mut r = Request::new(&mut all);
-    match r.parse(b) {
+/// Parses a complete head. Invariant: `b` has the length that `length` returned.
+pub fn parse(b: &[u8], limits: &Limits) -> Result<Head, Reply> {
+    let mut fields = [EMPTY_HEADER; MAX_FIELDS];
+    let mut request = Request::new(&mut fields);
+    match request.parse(b) {
         Ok(Status::Complete(n)) if n == b.len() => (),
         Err(Error::TooManyHeaders) => {
-            return Err(Reply::problem(431, "too large", format!("a head may have {FIELDS} fields")))
+            return Err(Reply::problem(
+                431,
+                "too large",
+                format!("the head may have at most {MAX_FIELDS} header fields"),
+            ))
         }
-        Err(e) => return Err(bad(&format!("the head is malformed: {e}"))),
-        Ok(_) => return Err(bad("the head is malformed")),
+        Err(e) => return Err(invalid(&format!("the head is malformed: {e}"))),
+        Ok(_) => return Err(invalid("the head is malformed")),
     }
-    let (method, target) = (r.method.unwrap_or_default(), r.path.unwrap_or_default());
+    let (method, target) = (request.method.unwrap_or_default(), request.path.unwrap_or_default());
     if ["CONNECT", "TRACE"].contains(&method) {
-        return Err(Reply::problem(405, "denied", "not a method that is served here"));
+        return Err(Reply::problem(405, "denied", "this method is not supported"));
     }
-    if target.len() > TARGET {
-        return Err(long(b"", l.heads));
+    if target.len() > MAX_TARGET_BYTES {
+        return Err(too_long(b"", limits.heads));
     }
     if !target.starts_with('/') || !target.bytes().all(|b| b.is_ascii_graphic()) {
-        return Err(bad("the target should start with / and be printable ASCII"));
+        return Err(invalid("the request target must start with / and be printable ASCII"));
     }
     if target.contains(UNENCODED) {
-        return Err(bad("the target has characters that should be encoded"));
+        return Err(invalid("the request target has characters that must be percent-encoded"));
     }
     let mut heads = Headers::default();
-    r.headers.iter().for_each(|h| heads.push(h.name, h.value));
-    let old = r.version == Some(0);
-    let body = framing(&heads).map_err(bad)?;
+    request.headers.iter().for_each(|h| heads.push(h.name, h.value));
+    let http_1_0 = request.version == Some(0);
+    let body = framing(&heads).map_err(invalid)?;
     match &body {
-        Body::Chunked if old => return Err(bad("HTTP/1.0 has no chunks")),
-        Body::Sized(n) if *n > l.body => return Err(large(l.body).reply),
+        Body::Chunked if http_1_0 => return Err(invalid("HTTP/1.0 has no chunked bodies")),
+        Body::Sized(n) if *n > limits.body => return Err(large(limits.body).reply),
         _ => (),
     }
-    let expects_continue = !old && heads.has("expect");
+    let expects_continue = !http_1_0 && heads.has("expect");
     if expects_continue && !heads.all("expect").all(|v| v.eq_ignore_ascii_case(b"100-continue")) {
-        return Err(Reply::problem(417, "denied", "only 100-continue can be expected"));
+        return Err(Reply::problem(417, "denied", "the only supported expectation is 100-continue"));
     }
-    let (host, persist) = (host(&heads, old)?, persist(&heads, old));
+    let (host, persist) = (host(&heads, http_1_0)?, persist(&heads, http_1_0));
     Ok(Head { method: method.into(), target: target.into(), host, heads, body, persist, expects_continue })
 }
--- a/crates/runtime/src/http_server/input.rs
+++ b/crates/runtime/src/http_server/input.rs
@@ -1,60 +1,62 @@
-//! What a connection's caller sends, through a buffer that is used over and over.
+//! Buffered input of a connection; the buffer is reused for all its requests.
 use crate::front::Reply;
 use primitives::Span;
 use std::io::{Error, ErrorKind, Read, Result};
 use std::net::TcpStream;
 
-/// Why a request is not read on.
-pub enum Stop {
-    /// Nobody is there to be told.
-    Gone,
-    /// The caller ended it halfway.
-    Ended,
-    /// It took longer than may be.
-    Slow,
-    /// The last word on this connection.
-    Say(Reply),
+/// Why reading a request failed.
+pub enum ReadError {
+    /// The connection is broken: no response can be sent.
+    Disconnected,
+    /// The caller closed its side before the request was complete.
+    UnexpectedEof,
+    /// A timeout passed.
+    TimedOut,
+    /// The request is rejected with this response, the last one on the connection.
+    Rejected(Reply),
 }
 
-impl From<Error> for Stop {
-    fn from(e: Error) -> Stop {
+impl From<Error> for ReadError {
+    fn from(e: Error) -> ReadError {
         match e.kind() {
-            ErrorKind::UnexpectedEof => Stop::Ended,
-            ErrorKind::WouldBlock | ErrorKind::TimedOut => Stop::Slow,
-            _ => Stop::Gone,
+            ErrorKind::UnexpectedEof => ReadError::UnexpectedEof,
+            ErrorKind::WouldBlock | ErrorKind::TimedOut => ReadError::TimedOut,
+            _ => ReadError::Disconnected,
         }
     }
 }
 
-impl From<Reply> for Stop {
-    fn from(r: Reply) -> Stop {
-        Stop::Say(r)
+impl From<Reply> for ReadError {
+    fn from(r: Reply) -> ReadError {
+        ReadError::Rejected(r)
     }
 }
 
-/// Invariant: `buf[from..to]` was read and not yet used; it comes before anything
-/// still in the socket.
+/// Invariant: `buf[from..to]` was read from the socket and not yet consumed; it precedes all
+/// data still in the socket.
 pub struct Input<'a> {
     stream: &'a TcpStream,
     buf: Vec<u8>,
     from: usize,
     to: usize,
-    /// The socket's own limit, so that it is set only when it changes.
-    wait: Option<Span>,
+    /// The socket's current read timeout, so that it is set only when it changes.
+    read_timeout: Option<Span>,
 }
 
-/// Bytes of the buffer, but for a longer head.
-pub const SMALL: usize = 4 << 10;
+/// Initial size of the buffer in bytes; it grows for a longer head.
+pub const BUFFER_BYTES: usize = 4 << 10;
 
 impl<'a> Input<'a> {
     pub fn new(stream: &'a TcpStream) -> Input<'a> {
-        Input { stream, buf: vec![0; SMALL], from: 0, to: 0, wait: None }
+        Input { stream, buf: vec![0; BUFFER_BYTES], from: 0, to: 0, read_timeout: None }
     }
 
+    /// Bytes read from the socket and not yet consumed.
     pub fn unread(&self) -> &[u8] {
         &self.buf[self.from..self.to]
     }
 
+    /// Drops the first `n` unread bytes.
     pub fn consume(&mut self, n: usize) {
         self.from += n;
         if self.from == self.to {
@@ -62,27 +64,27 @@
         }
     }
 
-    /// Gives back what a long head took.
+    /// Returns the buffer to its initial size after a long head.
     pub fn shrink(&mut self) {
-        if self.buf.len() > SMALL && self.to - self.from <= SMALL {
-            let mut b = vec![0; SMALL];
-            b[..self.to - self.from].copy_from_slice(self.unread());
-            (self.buf, self.to, self.from) = (b, self.to - self.from, 0);
+        if self.buf.len() > BUFFER_BYTES && self.to - self.from <= BUFFER_BYTES {
+            let mut buf = vec![0; BUFFER_BYTES];
+            buf[..self.to - self.from].copy_from_slice(self.unread());
+            (self.buf, self.to, self.from) = (buf, self.to - self.from, 0);
         }
     }
 
-    fn patience(&mut self, wait: Span) -> Result<()> {
-        let wait = wait.max(Span::ms(1));
-        if self.wait != Some(wait) {
-            self.stream.set_read_timeout(Some(wait.into()))?;
-            self.wait = Some(wait);
+    fn set_timeout(&mut self, timeout: Span) -> Result<()> {
+        let timeout = timeout.max(Span::ms(1));
+        if self.read_timeout != Some(timeout) {
+            self.stream.set_read_timeout(Some(timeout.into()))?;
+            self.read_timeout = Some(timeout);
         }
         Ok(())
     }
 
-    /// One read, of at least a byte.
-    pub fn more(&mut self, wait: Span) -> Result<()> {
-        self.patience(wait)?;
+    /// Reads at least one byte into the buffer, with one successful read from the socket.
+    pub fn read_more(&mut self, timeout: Span) -> Result<()> {
+        self.set_timeout(timeout)?;
         if self.to == self.buf.len() && self.from > 0 {
             self.buf.copy_within(self.from..self.to, 0);
             (self.to, self.from) = (self.to - self.from, 0);
@@ -103,22 +105,22 @@
         }
     }
 
-    /// Exactly `n` bytes onto `body`, and none past them out of the socket unless
-    /// that saves a read. `wait` is for each read.
-    pub fn exactly(&mut self, mut n: usize, body: &mut Vec<u8>, wait: Span) -> Result<()> {
+    /// Appends exactly `n` bytes to `body`. More than that is taken from the socket only if
+    /// it saves a read. `timeout` applies to each read.
+    pub fn read_exactly(&mut self, mut n: usize, body: &mut Vec<u8>, timeout: Span) -> Result<()> {
         while n > 0 {
-            if self.unread().is_empty() && n >= SMALL {
-                self.patience(wait)?;
-                let got = self.stream.take(n as u64).read_to_end(body)?;
-                return (got == n).then_some(()).ok_or(ErrorKind::UnexpectedEof.into());
+            if self.unread().is_empty() && n >= BUFFER_BYTES {
+                self.set_timeout(timeout)?;
+                let read = self.stream.take(n as u64).read_to_end(body)?;
+                return (read == n).then_some(()).ok_or(ErrorKind::UnexpectedEof.into());
             }
             if self.unread().is_empty() {
-                self.more(wait)?;
+                self.read_more(timeout)?;
             }
-            let k = n.min(self.to - self.from);
-            body.extend_from_slice(&self.buf[self.from..self.from + k]);
-            self.consume(k);
-            n -= k;
+            let available = n.min(self.to - self.from);
+            body.extend_from_slice(&self.buf[self.from..self.from + available]);
+            self.consume(available);
+            n -= available;
         }
         Ok(())
     }
--- a/crates/runtime/src/http_server/refused.rs
+++ b/crates/runtime/src/http_server/refused.rs
@@ -1,5 +1,5 @@
-//! Connections there is no place for. They are told so and held for a moment,
-//! since closing one that sent more than was read takes its answer away.
+//! Connections beyond the limit. Each gets a 503 and is kept open for a moment: closing a
+//! connection with unread input would reset it, and the caller could lose the response.
 use super::{answer, head::Persist, ClientConnection};
 use crate::front::Reply;
 use primitives::{Mono, Span};
@@ -8,34 +8,38 @@
 use std::net::Shutdown;
 use std::sync::Arc;
 
-/// Invariant: at most `MOST`, oldest first. Whoever comes next ends the old ones.
+/// Rejected connections that are still open. Invariant: at most `MAX_KEPT`, oldest first. Old ones
+/// are closed when the next connection is rejected.
 #[derive(Default)]
 pub struct Refused(VecDeque<(Mono, Arc<ClientConnection>)>);
 
-const MOST: usize = 64;
-const HELD: Span = Span::secs(1);
+const MAX_KEPT: usize = 64;
+/// How long a rejected connection is kept open, if no more than `MAX_KEPT` are.
+const KEPT_FOR: Span = Span::secs(1);
 
 impl Refused {
-    /// Never waits: nothing was sent to it yet, so there is room for the answer.
-    pub fn tell(&mut self, g: Arc<ClientConnection>) {
-        let _ = g.stream.set_nonblocking(true);
-        let r = Reply::problem(503, "denied", "this node holds too many connections").after(2);
-        let _ = answer::send(&g.stream, &r, false, Persist::No);
-        let _ = g.stream.shutdown(Shutdown::Write);
+    /// Sends a 503. Never blocks: nothing was sent on the connection yet, so the response fits
+    /// into the socket's buffer.
+    pub fn reject(&mut self, connection: Arc<ClientConnection>) {
+        let _ = connection.stream.set_nonblocking(true);
+        let reply = Reply::problem(503, "denied", "this node holds too many connections").after(2);
+        let _ = answer::send(&connection.stream, &reply, false, Persist::No);
+        let _ = connection.stream.shutdown(Shutdown::Write);
         let now = crate::now();
-        while self.0.front().is_some_and(|(at, _)| self.0.len() >= MOST || now - *at > HELD) {
-            self.0.pop_front().into_iter().for_each(|(_, g)| drain(&g));
+        while self.0.front().is_some_and(|(at, _)| self.0.len() >= MAX_KEPT || now - *at > KEPT_FOR) {
+            self.0.pop_front().into_iter().for_each(|(_, old)| drain(&old));
         }
-        self.0.push_back((now, g));
+        self.0.push_back((now, connection));
     }
 
-    /// Their descriptors are wanted.
-    pub fn clear(&mut self) {
-        self.0.drain(..).for_each(|(_, g)| drain(&g));
+    /// Closes all rejected connections, to free their descriptors.
+    pub fn close_all(&mut self) {
+        self.0.drain(..).for_each(|(_, old)| drain(&old));
     }
 }
 
-fn drain(g: &ClientConnection) {
+/// Discards received input without waiting, so that closing does not reset the connection.
+fn drain(connection: &ClientConnection) {
     let mut buf = [0; 4096];
-    let _ = (0..16).take_while(|_| (&g.stream).read(&mut buf).is_ok_and(|n| n > 0)).count();
+    let _ = (0..16).take_while(|_| (&connection.stream).read(&mut buf).is_ok_and(|n| n > 0)).count();
 }
