--- a/crates/runtime/src/front.rs
+++ b/crates/runtime/src/front.rs
@@ -1,12 +1,15 @@
-//! HTTP towards callers, origins, operators and the platform.
+//! HTTP server on an HTTP library, for callers, origins, operators and the platform.
+//! `http_server` is the alternative with one thread per connection.
+mod reply;
+
 use crate::connection_monitor::{ConnectionMonitor, ConnectionPhase, Patience};
 use crate::memory_budget::MemoryBudget;
-use crate::request_parser::{head, take, Call, Head, RequestRejection};
+use crate::request_parser::{parse_head, read_body, Call, Head, RequestRejection};
 use crate::shell::Handle;
 use control_state::*;
 use nix::sys::socket::{setsockopt, sockopt::SendTimeout};
 use nix::sys::time::{TimeVal, TimeValLike};
-use primitives::Mono;
+pub use reply::Reply;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 use std::sync::{Arc, OnceLock};
@@ -15,60 +18,21 @@
 use tiny_http::{Header, Request, Response, Server, StatusCode};
 use tinyjson::JsonValue;
 
-/// What goes back over HTTP.
-#[derive(Debug)]
-pub struct Reply {
-    pub status: u16,
-    pub heads: Headers,
-    pub body: Arc<Vec<u8>>,
-    /// What the length field says where no body goes out.
-    pub length: Option<usize>,
-    /// Not a byte leaves after this.
-    pub until: Mono,
-    pub hold: MemoryHold,
-}
-
-impl Reply {
-    pub fn new(status: u16, heads: Headers, body: Arc<Vec<u8>>) -> Reply {
-        Reply { status, heads, body, length: None, until: Mono(u64::MAX), hold: MemoryHold::default() }
-    }
-
-    pub fn json(status: u16, v: JsonValue) -> Reply {
-        let body = v.stringify().unwrap_or_default().into_bytes();
-        Reply::new(status, Headers::default().with("content-type", "application/json"), Arc::new(body))
-    }
-
-    /// A denial or failure, by name, with its reason.
-    pub fn problem(status: u16, name: &str, why: impl ToString) -> Reply {
-        Reply::json(status, obj(vec![("problem", text(name)), ("reason", text(why.to_string()))]))
-    }
-
-    pub fn after(mut self, secs: u64) -> Reply {
-        self.heads.push("retry-after", secs.max(1).to_string());
-        self
-    }
-
-    /// A thawed machine does not hand out what it decided on before the freeze.
-    pub(crate) fn in_time(self) -> Reply {
-        if crate::now() < self.until {
-            return self;
-        }
-        Reply::problem(503, "stale", "the decision is too old to be served").after(1)
-    }
-}
-
+/// Limits and resources of the server.
 #[derive(Clone)]
 pub struct FrontConfig {
-    /// Requests in hand at a time.
+    /// Maximum number of in-flight requests, health checks excluded.
     pub callers: usize,
-    /// Bytes of a request's body.
+    /// Maximum bytes of a request's body.
     pub body: usize,
+    /// Memory for request bodies.
     pub room: Arc<MemoryBudget>,
+    /// Timeouts of callers' connections.
     pub patience: Patience,
 }
 
-/// Requests in hand, for a drain to wait on. Invariant: health has its own
-/// count, so that callers never keep it waiting.
+/// In-flight requests, so that a drain can wait for them. Invariant: health checks are counted
+/// separately, so that callers never delay them.
 #[derive(Default)]
 pub struct Open {
     connection_monitor: OnceLock<Arc<ConnectionMonitor>>,
@@ -77,41 +41,44 @@
 }
 
 impl Open {
+    /// Whether any request other than a health check is in flight.
     pub fn any(&self) -> bool {
         self.callers.load(SeqCst) > 0
     }
 
-    /// Closes connections that ask nothing, so that their callers see the end
-    /// before they send more.
+    /// Closes idle connections, so that their callers see the end before they send another
+    /// request.
     pub fn close_idle(&self) {
-        self.connection_monitor.get().into_iter().for_each(|u| u.close_idle());
+        self.connection_monitor.get().into_iter().for_each(|m| m.close_idle());
     }
 }
 
-const HEALTH: usize = 32;
+/// Maximum number of in-flight health checks.
+const MAX_HEALTH_CHECKS: usize = 32;
 
-fn health_path(req: &Request) -> bool {
+fn is_health_check(req: &Request) -> bool {
     ["/lanewing/live", "/lanewing/ready"].contains(&req.url())
 }
 
-/// Values that the library cannot carry stay behind, and are named.
+/// The fields in the library's form. Those that it cannot send are omitted and their names
+/// listed in `Lanewing-Left-Out`.
 fn headers(heads: &Headers) -> Vec<Header> {
-    let mut left: Vec<&str> = vec![];
-    let mut all: Vec<Header> = vec![];
+    let mut omitted: Vec<&str> = vec![];
+    let mut fields: Vec<Header> = vec![];
     for (n, v) in heads.iter() {
-        let plain = v.iter().all(|b| *b == b'\t' || (b' '..=b'~').contains(b));
-        match Header::from_bytes(n.as_bytes(), v).ok().filter(|_| plain) {
-            Some(h) => all.push(h),
-            None => left.push(n),
+        let printable = v.iter().all(|b| *b == b'\t' || (b' '..=b'~').contains(b));
+        match Header::from_bytes(n.as_bytes(), v).ok().filter(|_| printable) {
+            Some(h) => fields.push(h),
+            None => omitted.push(n),
         }
     }
     if !heads.has("server") {
-        all.extend(Header::from_bytes("Server", "lanewing"));
+        fields.extend(Header::from_bytes("Server", "lanewing"));
     }
-    if !left.is_empty() {
-        all.extend(Header::from_bytes("Lanewing-Left-Out", left.join(", ")));
+    if !omitted.is_empty() {
+        fields.extend(Header::from_bytes("Lanewing-Left-Out", omitted.join(", ")));
     }
-    all
+    fields
 }
 
 fn response(r: &Reply) -> Response<&[u8]> {
@@ -120,108 +87,115 @@
     resp.with_chunked_threshold(usize::MAX)
 }
 
-fn answer(req: Request, r: Reply) {
-    let _ = req.respond(response(&r.in_time()));
+fn respond(req: Request, r: Reply) {
+    let _ = req.respond(response(&r.unless_expired()));
 }
 
-/// The last word on this connection, which waits for nothing its caller may still
-/// have to send.
-fn cut_off(req: Request, r: Reply, connection_monitor: &ConnectionMonitor) {
+/// Sends the last response on a connection and closes it, without waiting for input that the
+/// caller may still send.
+fn respond_and_close(req: Request, r: Reply, connection_monitor: &ConnectionMonitor) {
     let peer = req.remote_addr().copied();
     peer.into_iter().for_each(|p| connection_monitor.shutdown_read(p));
-    answer(req, r);
-    peer.into_iter().for_each(|p| connection_monitor.hush(p));
+    respond(req, r);
+    peer.into_iter().for_each(|p| connection_monitor.shutdown_write(p));
 }
 
-type Serve = dyn Fn(Call) -> Reply + Send + Sync;
+type Handler = dyn Fn(Call) -> Reply + Send + Sync;
 
-/// One request, on a thread of its own: a slow caller holds up nobody else.
-fn one(
+/// Serves one request on a thread of its own, so that a slow caller delays no other.
+fn serve_one(
     mut req: Request,
-    h: Result<Head, RequestRejection>,
-    env: &FrontConfig,
+    head: Result<Head, RequestRejection>,
+    config: &FrontConfig,
     connection_monitor: &ConnectionMonitor,
-    f: &Serve,
+    handler: &Handler,
 ) {
     let peer = req.remote_addr().copied();
-    let mark = |d: ConnectionPhase| peer.into_iter().for_each(|p| connection_monitor.set(p, d));
-    mark(ConnectionPhase::Sending);
-    match h.and_then(|h| take(&mut req, h, env.body, &env.room)) {
+    let set_phase = |phase: ConnectionPhase| peer.into_iter().for_each(|p| connection_monitor.set(p, phase));
+    set_phase(ConnectionPhase::Sending);
+    match head.and_then(|head| read_body(&mut req, head, config.body, &config.room)) {
         Ok(call) => {
-            mark(ConnectionPhase::Waiting);
-            let r = f(call);
-            mark(ConnectionPhase::Taking);
-            answer(req, r);
-            mark(ConnectionPhase::Asking);
+            set_phase(ConnectionPhase::Waiting);
+            let reply = handler(call);
+            set_phase(ConnectionPhase::Taking);
+            respond(req, reply);
+            set_phase(ConnectionPhase::Asking);
         }
-        Err(a) => {
-            mark(if a.cut { ConnectionPhase::ProtocolViolation } else { ConnectionPhase::Taking });
-            if a.cut {
-                return cut_off(req, a.reply, connection_monitor);
+        Err(rejection) => {
+            set_phase(if rejection.close_connection {
+                ConnectionPhase::ProtocolViolation
+            } else {
+                ConnectionPhase::Taking
+            });
+            if rejection.close_connection {
+                return respond_and_close(req, rejection.reply, connection_monitor);
             }
-            answer(req, a.reply);
-            mark(ConnectionPhase::Asking);
+            respond(req, rejection.reply);
+            set_phase(ConnectionPhase::Asking);
         }
     }
 }
 
-/// Serves HTTP by what `f` says.
+/// Serves HTTP on listener `l` with handler `f`.
 pub fn serve(
     l: TcpListener,
-    env: FrontConfig,
+    config: FrontConfig,
     f: impl Fn(Call) -> Reply + Send + Sync + 'static,
 ) -> Arc<Open> {
     let open: Arc<Open> = Arc::default();
-    // Accepted connections inherit it: who does not read is given up.
-    let _ = setsockopt(&l, SendTimeout, &TimeVal::milliseconds(env.patience.take.as_ms() as i64));
-    let none = SocketAddr::from(([0, 0, 0, 0], 0));
-    let connection_monitor = ConnectionMonitor::start(l.local_addr().unwrap_or(none), env.patience);
+    // Accepted connections inherit it, so that a caller that does not read is dropped.
+    let _ = setsockopt(&l, SendTimeout, &TimeVal::milliseconds(config.patience.take.as_ms() as i64));
+    let unknown = SocketAddr::from(([0, 0, 0, 0], 0));
+    let connection_monitor = ConnectionMonitor::start(l.local_addr().unwrap_or(unknown), config.patience);
     let _ = open.connection_monitor.set(connection_monitor.clone());
     let Ok(server) = Server::from_listener(l, None) else { return open };
-    let (f, count): (Arc<Serve>, _) = (Arc::new(f), open.clone());
+    let (handler, in_flight): (Arc<Handler>, _) = (Arc::new(f), open.clone());
     thread::spawn(move || {
         while let Ok(req) = server.recv() {
             let peer = req.remote_addr().copied();
             if peer.is_some_and(|p| connection_monitor.violated_protocol(p)) {
-                // It was told already; what follows is no request of anybody's.
+                // The error was sent already; what follows on this connection is not a request.
                 drop(req.into_writer());
                 continue;
             }
-            // Looked at in their order, so that what follows a head that broke the
-            // framing is known for what it is.
-            let h = head(&req, env.body);
-            let cut = h.as_ref().is_err_and(|a| a.cut);
-            peer.filter(|_| cut)
+            // Heads are parsed in the order received, so that whatever follows one that violated
+            // the framing is recognised as such.
+            let head = parse_head(&req, config.body);
+            let violation = head.as_ref().is_err_and(|rejection| rejection.close_connection);
+            peer.filter(|_| violation)
                 .into_iter()
                 .for_each(|p| connection_monitor.set(p, ConnectionPhase::ProtocolViolation));
-            let health = health_path(&req);
-            let (open, most) = (count.clone(), if health { HEALTH } else { env.callers });
-            let n = move |o: &Open, by: isize| {
-                let c = if health { &o.health } else { &o.callers };
-                c.fetch_add(by as usize, SeqCst)
+            let health = is_health_check(&req);
+            let (open, limit) = (in_flight.clone(), if health { MAX_HEALTH_CHECKS } else { config.callers });
+            let add = move |open: &Open, change: isize| {
+                let count = if health { &open.health } else { &open.callers };
+                count.fetch_add(change as usize, SeqCst)
             };
-            if n(&open, 1) >= most {
-                n(&open, -1);
-                let r = Reply::problem(503, "denied", "this node holds too many requests").after(2);
-                cut_off(req, r, &connection_monitor);
+            if add(&open, 1) >= limit {
+                add(&open, -1);
+                let reply =
+                    Reply::problem(503, "denied", "this node has too many requests in flight").after(2);
+                respond_and_close(req, reply, &connection_monitor);
                 continue;
             }
-            let (f, env, connection_monitor) = (f.clone(), env.clone(), connection_monitor.clone());
-            let went = open.clone();
+            let (handler, config, connection_monitor) =
+                (handler.clone(), config.clone(), connection_monitor.clone());
+            let not_started = open.clone();
             let job = move || {
-                one(req, h, &env, &connection_monitor, &*f);
-                n(&open, -1);
+                serve_one(req, head, &config, &connection_monitor, &*handler);
+                add(&open, -1);
             };
-            // No thread to be had: the request falls away with a 500, unsent.
+            // No thread can be started: the request is dropped, and the library answers with 500.
             if thread::Builder::new().spawn(job).is_err() {
-                n(&went, -1);
+                add(&not_started, -1);
             }
         }
     });
     open
 }
 
-/// What every role answers alike: liveness, readiness, counters.
+/// Answers the requests that are the same for all roles: liveness, and readiness with counters.
+/// None for any other request.
 pub fn common(h: &Handle, c: &Call) -> Option<Reply> {
     let (path, wait) = (c.path.as_str(), Duration::from_secs(1));
     match (c.method.as_str(), path) {
@@ -230,7 +204,7 @@
         }
         ("GET" | "HEAD", "lanewing/ready") => Some(match h.ask(Ask::Ready, wait) {
             Some(NodeReply::Health(x)) => health(x),
-            _ => Reply::problem(503, "stuck", "the process does not answer itself"),
+            _ => Reply::problem(503, "stuck", "the node's actor did not answer within 1 s"),
         }),
         _ => None,
     }
--- a/crates/runtime/src/http_server/answer.rs
+++ b/crates/runtime/src/http_server/answer.rs
@@ -2,7 +2,7 @@
 //! response never looks complete.
 use super::head::Persist;
 use crate::front::Reply;
-use crate::request_parser::token;
+use crate::request_parser::is_token;
 use std::io::{Error, ErrorKind, IoSlice, Result, Write};
 use std::net::TcpStream;
 use tiny_http::StatusCode;
@@ -19,8 +19,8 @@
     let mut omitted: Vec<&str> = vec![];
     for (n, v) in r.heads.iter().filter(|(n, _)| !SERVER_FIELDS.contains(n)) {
         let valid = v.iter().all(|b| *b == b'\t' || !b.is_ascii_control());
-        if !valid || !token(n) {
-            omitted.push(if token(n) { n } else { "?" });
+        if !valid || !is_token(n) {
+            omitted.push(if is_token(n) { n } else { "?" });
             continue;
         }
         [n.as_bytes(), b": ", v, b"\r\n"].iter().for_each(|p| out.extend_from_slice(p));
--- a/crates/runtime/src/http_server/body.rs
+++ b/crates/runtime/src/http_server/body.rs
@@ -3,7 +3,7 @@
 use super::Limits;
 use crate::front::Reply;
 use crate::memory_budget::{MemoryBudget, MemoryReservation};
-use crate::request_parser::{large, token, Body};
+use crate::request_parser::{body_too_large, is_token, Body};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -72,7 +72,7 @@
             break;
         }
         if n > limits.body - body.bytes.len() {
-            return Err(large(limits.body).reply.into());
+            return Err(body_too_large(limits.body).reply.into());
         }
         body.reserve(n)?;
         input.read_exactly(n, &mut body.bytes, limits.send)?;
@@ -83,7 +83,7 @@
         let end = read_line_length(input, overhead_left, overhead_too_large, limits)?;
         overhead_left = overhead_left.checked_sub(end).ok_or_else(overhead_too_large)?;
         let name = input.unread()[..end].split(|b| *b == b':').next().unwrap_or_default();
-        let valid_name = name.len() < end && std::str::from_utf8(name).is_ok_and(token);
+        let valid_name = name.len() < end && std::str::from_utf8(name).is_ok_and(is_token);
         input.consume(end + 2);
         match (end, valid_name) {
             (0, _) => return Ok(()),
--- a/crates/runtime/src/http_server/conn.rs
+++ b/crates/runtime/src/http_server/conn.rs
@@ -157,7 +157,7 @@
     }
 
     fn answer(&mut self, reply: Reply, is_head: bool, persist: Persist) -> After {
-        let reply = reply.in_time();
+        let reply = reply.unless_expired();
         let reply = match reply.status {
             200..=999 => reply,
             _ => Reply::problem(502, "invalid", "the response has no valid final status"),
--- a/crates/runtime/src/http_server/head.rs
+++ b/crates/runtime/src/http_server/head.rs
@@ -1,7 +1,7 @@
 //! Parses a request's head. A head that can be read in more than one way is rejected.
 use super::Limits;
 use crate::front::Reply;
-use crate::request_parser::{framing, large, Body, UNENCODED};
+use crate::request_parser::{body_too_large, framing, Body, UNENCODED};
 use control_state::Headers;
 use httparse::{Error, Request, Status, EMPTY_HEADER};
 
@@ -120,7 +120,7 @@
     let body = framing(&heads).map_err(invalid)?;
     match &body {
         Body::Chunked if http_1_0 => return Err(invalid("HTTP/1.0 has no chunked bodies")),
-        Body::Sized(n) if *n > limits.body => return Err(large(limits.body).reply),
+        Body::Sized(n) if *n > limits.body => return Err(body_too_large(limits.body).reply),
         _ => (),
     }
     let expects_continue = !http_1_0 && heads.has("expect");
