--- a/crates/runtime/src/executor.rs
+++ b/crates/runtime/src/executor.rs
@@ -1,7 +1,7 @@
-//! The executor: runs rounds at origins exactly as decided, and reports.
+//! Sends attempts (`Round`) to origins exactly as decided, and reports their outcomes.
 use crate::memory_budget::{MemoryBudget, MemoryReservation};
 use crate::origin_client::{agent, any_bytes_sent, set_send_deadline};
-use crate::origin_response::{whole, ResponseRead};
+use crate::origin_response::{read_response, ResponseRead};
 use crate::shell::Handle;
 use control_state::*;
 use primitives::{Addr, Birth, Mono, Span};
@@ -13,42 +13,44 @@
 use ureq::typestate::WithoutBody;
 use ureq::{Agent, RequestBuilder};
 
-type Dress = dyn Fn(&Round, Span) -> Vec<(String, Vec<u8>)> + Send + Sync;
-type Judge = dyn Fn(&Round, Whole) -> FetchOutcome + Send + Sync;
+type OriginHeaders = dyn Fn(&Round, Span) -> Vec<(String, Vec<u8>)> + Send + Sync;
+type Classify = dyn Fn(&Round, Whole) -> FetchOutcome + Send + Sync;
 
-/// How a deployment's origins are spoken to.
+/// The HTTP conventions of a deployment's origins.
 #[derive(Clone)]
 pub struct OriginProtocol {
-    /// The fields that go out beside the caller's own; given what time is left.
-    pub origin_headers: Arc<Dress>,
-    /// What a whole answer means.
-    pub judge: Arc<Judge>,
-    /// How long a connection may take to come up.
+    /// The header fields sent in addition to the caller's; its second argument is the time
+    /// left for the attempt.
+    pub origin_headers: Arc<OriginHeaders>,
+    /// The outcome that a complete response stands for.
+    pub judge: Arc<Classify>,
+    /// Timeout for establishing a connection.
     pub connect: Duration,
 }
 
 impl Default for OriginProtocol {
     fn default() -> OriginProtocol {
         OriginProtocol {
-            origin_headers: Arc::new(own),
-            judge: Arc::new(judge),
+            origin_headers: Arc::new(default_headers),
+            judge: Arc::new(classify),
             connect: Duration::from_millis(800),
         }
     }
 }
 
-fn own(r: &Round, _: Span) -> Vec<(String, Vec<u8>)> {
-    let own = [
+fn default_headers(r: &Round, _: Span) -> Vec<(String, Vec<u8>)> {
+    let fields = [
         ("Lanewing-Service", r.svc.0.clone()),
         ("Lanewing-Birth", r.birth.to_string()),
         ("Lanewing-Lane", r.req.lane.0.clone()),
     ];
     let key = r.req.key.iter().map(|k| ("Idempotency-Key", k.clone()));
-    own.into_iter().chain(key).map(|(n, v)| (n.to_string(), v.into_bytes())).collect()
+    fields.into_iter().chain(key).map(|(n, v)| (n.to_string(), v.into_bytes())).collect()
 }
 
-/// 421: meant for another life of this address, so it was not run.
-fn judge(_: &Round, w: Whole) -> FetchOutcome {
+/// A 421 says that the request was meant for another incarnation of this address, so it was
+/// not executed.
+fn classify(_: &Round, w: Whole) -> FetchOutcome {
     if w.status == 421 {
         FetchOutcome::NotSent
     } else {
@@ -56,45 +58,51 @@
     }
 }
 
+/// Limits and resources of the executor.
 #[derive(Clone)]
 pub struct ExecutorConfig {
-    /// Answers larger than this are not served.
+    /// Maximum bytes of a response body; a larger one is not served.
     pub answer: usize,
+    /// Memory for response bodies.
     pub room: Arc<MemoryBudget>,
     pub origin_protocol: OriginProtocol,
 }
 
-type Answer = Option<Result<Response<ureq::Body>, ureq::Error>>;
+/// None if the request cannot be sent as it is.
+type SendResult = Option<Result<Response<ureq::Body>, ureq::Error>>;
 
-fn ask(agent: &Agent, r: &Round, own: Vec<(String, Vec<u8>)>) -> Answer {
+/// Sends an attempt's request with the header fields `own` before the caller's, and reads the
+/// head of the response.
+fn send_request(agent: &Agent, r: &Round, own: Vec<(String, Vec<u8>)>) -> SendResult {
     let uri = uri(r)?;
-    let heads = r.req.heads.iter().map(|(n, v)| (n.to_string(), v.to_vec()));
-    let all = own.into_iter().chain(heads);
+    let caller_fields = r.req.heads.iter().map(|(n, v)| (n.to_string(), v.to_vec()));
+    let fields = own.into_iter().chain(caller_fields);
     let body: &[u8] = &r.req.body;
-    if let Some(q) = seldom_with_body(agent, &r.req.method, &uri).filter(|_| !body.is_empty()) {
-        let q = all.fold(q, |b, (n, v)| b.header(n, v));
-        return Some(q.force_send_body().send(body));
+    if let Some(request) = usually_bodiless(agent, &r.req.method, &uri).filter(|_| !body.is_empty()) {
+        let request = fields.fold(request, |b, (n, v)| b.header(n, v));
+        return Some(request.force_send_body().send(body));
     }
-    let b = all.fold(Request::builder().method(r.req.method.as_str()).uri(uri), |b, (n, v)| b.header(n, v));
+    let builder =
+        fields.fold(Request::builder().method(r.req.method.as_str()).uri(uri), |b, (n, v)| b.header(n, v));
     if ["GET", "HEAD", "OPTIONS", "DELETE"].contains(&r.req.method.as_str()) {
-        b.body(()).ok().map(|q| agent.run(q))
+        builder.body(()).ok().map(|request| agent.run(request))
     } else {
-        b.body(body).ok().map(|q| agent.run(q))
+        builder.body(body).ok().map(|request| agent.run(request))
     }
 }
 
-/// Where the round goes; none if the library would not send the target as it is.
+/// The URI of an attempt; None if the library would not send the target unchanged.
 fn uri(r: &Round) -> Option<String> {
     let slash = if r.req.path.starts_with('/') { "" } else { "/" };
     let target = format!("{slash}{}", r.req.path);
     let uri = format!("http://{}{target}", r.addr);
-    let read: Uri = uri.parse().ok()?;
-    let same = read.path_and_query().is_some_and(|t| *t == *target);
-    same.then_some(uri)
+    let parsed: Uri = uri.parse().ok()?;
+    let unchanged = parsed.path_and_query().is_some_and(|t| *t == *target);
+    unchanged.then_some(uri)
 }
 
-/// A request by a method that the library sends no body with unless told to.
-fn seldom_with_body(agent: &Agent, method: &str, uri: &str) -> Option<RequestBuilder<WithoutBody>> {
+/// The request builder for a method that the library sends without a body unless forced to.
+fn usually_bodiless(agent: &Agent, method: &str, uri: &str) -> Option<RequestBuilder<WithoutBody>> {
     match method {
         "GET" => Some(agent.get(uri)),
         "HEAD" => Some(agent.head(uri)),
@@ -104,48 +112,51 @@
     }
 }
 
-/// A whole answer, or why there is none.
-pub fn run(env: &ExecutorConfig, r: &Round) -> FetchOutcome {
-    // A round that is given up has no business leaving any more.
+/// Runs one attempt and returns its outcome: a complete response, or why there is none.
+pub fn run(config: &ExecutorConfig, r: &Round) -> FetchOutcome {
+    // An attempt must not be sent after it was given up.
     set_send_deadline(r.until.min(r.answer_deadline));
-    let left = || if any_bytes_sent() { FetchOutcome::Lost } else { FetchOutcome::NotSent };
-    let most = (r.answer_deadline - crate::now()).max(Span::ms(1));
-    let own = (env.origin_protocol.origin_headers)(r, most);
-    let Some(Ok(mut resp)) = ask(&agent(most.into(), env.origin_protocol.connect), r, own) else {
-        return left();
+    let failure = || if any_bytes_sent() { FetchOutcome::Lost } else { FetchOutcome::NotSent };
+    let timeout = (r.answer_deadline - crate::now()).max(Span::ms(1));
+    let own = (config.origin_protocol.origin_headers)(r, timeout);
+    let Some(Ok(mut resp)) = send_request(&agent(timeout.into(), config.origin_protocol.connect), r, own)
+    else {
+        return failure();
     };
-    let mut held: Option<MemoryReservation> = None;
-    // Room is waited for as long as the origin is; nobody holds it for longer.
-    let mut room = |n: usize| {
+    let mut reservation: Option<MemoryReservation> = None;
+    // Waits for memory as long as for the origin; no attempt holds memory for longer.
+    let mut reserve = |n: usize| {
         let wait: Duration = (r.answer_deadline - crate::now()).into();
-        match &mut held {
-            Some(t) => t.reach(n, wait),
+        match &mut reservation {
+            Some(reserved) => reserved.reach(n, wait),
             None => {
-                held = env.room.take(n, wait);
-                held.is_some()
+                reservation = config.room.take(n, wait);
+                reservation.is_some()
             }
         }
     };
-    match whole(&r.req.method, &mut resp, env.answer, &mut room) {
-        ResponseRead::Whole(w) => {
-            (env.origin_protocol.judge)(r, Whole { hold: MemoryHold(held.map(|t| Arc::new(t) as _)), ..w })
-        }
+    match read_response(&r.req.method, &mut resp, config.answer, &mut reserve) {
+        ResponseRead::Complete(w) => (config.origin_protocol.judge)(
+            r,
+            Whole { hold: MemoryHold(reservation.map(|t| Arc::new(t) as _)), ..w },
+        ),
         ResponseRead::TooLarge => FetchOutcome::TooLarge,
-        ResponseRead::Broken => left(),
+        ResponseRead::Broken => failure(),
     }
 }
 
-/// Rounds sent to the sender are run, each on a thread of its own: the edge bounds
-/// how many of one service are out.
-pub fn rounds(env: ExecutorConfig) -> (Sender<Round>, impl FnOnce(Handle)) {
+/// Starts the executor. Each attempt sent to the returned sender runs on a thread of its own; the
+/// edge limits the concurrent attempts per service. The returned function takes the handle that
+/// outcomes are reported to.
+pub fn rounds(config: ExecutorConfig) -> (Sender<Round>, impl FnOnce(Handle)) {
     let (tx, rx) = channel::<Round>();
     let start = move |h: Handle| {
         thread::spawn(move || {
             for r in rx {
-                let (env, hh, n) = (env.clone(), h.clone(), r.n);
+                let (config, handle, n) = (config.clone(), h.clone(), r.n);
                 let job = move || {
-                    let f = run(&env, &r);
-                    hh.ask(Ask::Done(r.n, f), Duration::from_secs(1));
+                    let outcome = run(&config, &r);
+                    handle.ask(Ask::Done(r.n, outcome), Duration::from_secs(1));
                 };
                 if thread::Builder::new().spawn(job).is_err() {
                     h.ask(Ask::Done(n, FetchOutcome::NotSent), Duration::from_secs(1));
@@ -156,31 +167,32 @@
     (tx, start)
 }
 
-/// Asks origins themselves, whenever their beats do not come through.
+/// Starts a thread that probes origins whose heartbeats do not arrive, as the handle names them.
 pub fn probe(h: Handle) {
     let agent = agent(Duration::from_millis(400), Duration::from_millis(400));
     thread::spawn(move || loop {
         thread::sleep(Duration::from_millis(300));
-        let Some(NodeReply::Probes(all)) = h.ask(Ask::Probes, Duration::from_secs(1)) else { continue };
-        for a in all {
+        let Some(NodeReply::Probes(origins)) = h.ask(Ask::Probes, Duration::from_secs(1)) else { continue };
+        for addr in origins {
             let (h, agent) = (h.clone(), agent.clone());
             thread::spawn(move || {
-                let began = crate::now();
+                let started = crate::now();
                 set_send_deadline(Mono(u64::MAX));
-                let said = ask_origin(&agent, a);
-                h.ask(Ask::ProbeResult(a, said, began), Duration::from_secs(1));
+                let result = probe_origin(&agent, addr);
+                h.ask(Ask::ProbeResult(addr, result, started), Duration::from_secs(1));
             });
         }
     });
 }
 
-fn ask_origin(agent: &Agent, a: Addr) -> Option<(Svc, Birth, bool)> {
-    let mut resp = agent.get(format!("http://{a}/lanewing/probe")).call().ok()?;
+/// The service, incarnation and whether it serves, as the origin at `addr` reports them.
+fn probe_origin(agent: &Agent, addr: Addr) -> Option<(Svc, Birth, bool)> {
+    let mut resp = agent.get(format!("http://{addr}/lanewing/probe")).call().ok()?;
     let text = resp.body_mut().read_to_string().ok()?;
-    let v: tinyjson::JsonValue = text.parse().ok()?;
-    let o: &std::collections::HashMap<String, tinyjson::JsonValue> = v.get()?;
-    let svc: &String = o.get("service")?.get()?;
-    let birth: &f64 = o.get("birth")?.get()?;
-    let mood: &String = o.get("mood")?.get()?;
+    let value: tinyjson::JsonValue = text.parse().ok()?;
+    let object: &std::collections::HashMap<String, tinyjson::JsonValue> = value.get()?;
+    let svc: &String = object.get("service")?.get()?;
+    let birth: &f64 = object.get("birth")?.get()?;
+    let mood: &String = object.get("mood")?.get()?;
     Some((Svc(svc.clone()), Birth(*birth as u64), mood == "serving"))
 }
--- a/crates/runtime/src/origin_client.rs
+++ b/crates/runtime/src/origin_client.rs
@@ -1,5 +1,5 @@
-//! The HTTP client's side of a round: nothing leaves past its point in time, and no
-//! connection outlives its request.
+//! HTTP client for attempts at origins. Nothing is sent after an attempt's send deadline, and
+//! no connection is reused for another request.
 use primitives::Mono;
 use std::cell::Cell;
 use std::time::Duration;
@@ -11,43 +11,48 @@
 use ureq::Agent;
 
 thread_local! {
-    /// Until when this thread's round may leave, and whether any of it did.
-    static LEAVE: Cell<(Mono, bool)> = const { Cell::new((Mono(0), false)) };
-    /// Whether the origin's end of this thread's connection was seen.
-    static ENDED: Cell<bool> = const { Cell::new(false) };
+    /// Send deadline of this thread's attempt, and whether any byte of it was sent.
+    static SEND_STATE: Cell<(Mono, bool)> = const { Cell::new((Mono(0), false)) };
+    /// Whether the origin closed its side of this thread's connection.
+    static PEER_CLOSED: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Looks at the clock right before bytes leave: after a freeze nothing goes out
-/// on a decision made before it.
+/// Connector whose connections check the deadline.
 #[derive(Debug)]
-struct Turnstile;
+struct DeadlineConnector;
 
+/// Checks the send deadline right before bytes are sent: after the machine was frozen, nothing is
+/// sent on a decision made before the freeze.
 #[derive(Debug)]
-struct Turned<T>(T);
+struct DeadlineTransport<T>(T);
 
-impl<In: Transport> Connector<In> for Turnstile {
-    type Out = Turned<In>;
-    fn connect(&self, _: &ConnectionDetails, chained: Option<In>) -> Result<Option<Turned<In>>, ureq::Error> {
-        Ok(chained.map(Turned))
+impl<In: Transport> Connector<In> for DeadlineConnector {
+    type Out = DeadlineTransport<In>;
+    fn connect(
+        &self,
+        _: &ConnectionDetails,
+        chained: Option<In>,
+    ) -> Result<Option<DeadlineTransport<In>>, ureq::Error> {
+        Ok(chained.map(DeadlineTransport))
     }
 }
 
-impl<T: Transport> Transport for Turned<T> {
+impl<T: Transport> Transport for DeadlineTransport<T> {
     fn buffers(&mut self) -> &mut dyn Buffers {
         self.0.buffers()
     }
     fn transmit_output(&mut self, amount: usize, timeout: NextTimeout) -> Result<(), ureq::Error> {
-        let (until, left) = LEAVE.get();
-        if !left && crate::now() >= until {
+        let (deadline, any_sent) = SEND_STATE.get();
+        if !any_sent && crate::now() >= deadline {
             return Err(ureq::Error::Io(std::io::ErrorKind::TimedOut.into()));
         }
-        LEAVE.set((until, true));
+        SEND_STATE.set((deadline, true));
         self.0.transmit_output(amount, timeout)
     }
     fn await_input(&mut self, timeout: NextTimeout) -> Result<bool, ureq::Error> {
         let more = self.0.await_input(timeout)?;
         if !more {
-            ENDED.set(true);
+            PEER_CLOSED.set(true);
         }
         Ok(more)
     }
@@ -56,40 +61,41 @@
     }
 }
 
-/// Never pools: a kept-alive connection could outlive the service behind it.
-pub(crate) fn agent(most: Duration, connect: Duration) -> Agent {
-    let c = Config::builder()
+/// A client with the given timeouts for a whole request and for connecting. It does not pool: a
+/// kept-alive connection could outlive the service behind it.
+pub(crate) fn agent(timeout: Duration, connect: Duration) -> Agent {
+    let config = Config::builder()
         .http_status_as_error(false)
         .max_redirects(0)
         .max_idle_connections(0)
         .max_idle_connections_per_host(0)
         .proxy(None)
-        // What the caller did not send is not made up.
+        // Adds no header fields that the caller did not send.
         .user_agent("")
         .accept("")
         .accept_encoding("")
         .timeout_connect(Some(connect))
-        // Heads and small bodies; large ones take more turns.
+        // Fits a head and a small body; large bodies take several reads or writes.
         .input_buffer_size(16 << 10)
         .output_buffer_size(16 << 10)
-        .timeout_global(Some(most))
+        .timeout_global(Some(timeout))
         .build();
     let tcp: TcpConnector = TcpConnector::default();
-    Agent::with_parts(c, Connector::<()>::chain(tcp, Turnstile), DefaultResolver::default())
+    Agent::with_parts(config, Connector::<()>::chain(tcp, DeadlineConnector), DefaultResolver::default())
 }
 
-/// From now on this thread's round may leave until then.
-pub(crate) fn set_send_deadline(until: Mono) {
-    LEAVE.set((until, false));
-    ENDED.set(false);
+/// Begins an attempt on this thread, which must not be sent after `deadline`.
+pub(crate) fn set_send_deadline(deadline: Mono) {
+    SEND_STATE.set((deadline, false));
+    PEER_CLOSED.set(false);
 }
 
-/// Whether a byte of this thread's round has left.
+/// Whether any byte of this thread's attempt was sent.
 pub(crate) fn any_bytes_sent() -> bool {
-    LEAVE.get().1
+    SEND_STATE.get().1
 }
 
-/// Whether all that the origin of this thread's round sends was read to its connection's end.
+/// Whether the response to this thread's attempt was read up to the end of the connection.
 pub(crate) fn peer_closed() -> bool {
-    ENDED.get()
+    PEER_CLOSED.get()
 }
