--- a/crates/runtime/src/connection_monitor.rs
+++ b/crates/runtime/src/connection_monitor.rs
@@ -62,14 +62,11 @@
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 impl ConnectionMonitor {
-    /// Starts the thread that sweeps the connections of the listener at `at`. It ends when the
-    /// monitor is dropped.
-    pub fn start(at: SocketAddr, patience: Patience) -> Arc<ConnectionMonitor> {
-        let monitor = Arc::new(ConnectionMonitor {
-            listen_addr: at,
-            timeouts: patience,
-            client_connections: Mutex::default(),
-        });
+    /// Starts the thread that sweeps the connections of the listener at `listen_addr`. It ends
+    /// when the monitor is dropped.
+    pub fn start(listen_addr: SocketAddr, timeouts: Patience) -> Arc<ConnectionMonitor> {
+        let monitor =
+            Arc::new(ConnectionMonitor { listen_addr, timeouts, client_connections: Mutex::default() });
         let weak = Arc::downgrade(&monitor);
         thread::spawn(move || {
             while let Some(monitor) = weak.upgrade() {
@@ -86,7 +83,7 @@
     pub fn set(&self, who: SocketAddr, phase: ConnectionPhase) {
         let mut connections = self.client_connections.lock().expect("no thread panics with it");
         let violated_protocol =
-            connections.get(&who).is_some_and(|(phase, _)| *phase == ConnectionPhase::ProtocolViolation);
+            connections.get(&who).is_some_and(|(current, _)| *current == ConnectionPhase::ProtocolViolation);
         if !violated_protocol {
             connections.insert(who, (phase, crate::now()));
         }
@@ -137,8 +134,9 @@
                 *connections.entry(who).or_insert((ConnectionPhase::Asking, now))
             };
             let elapsed = now - since;
-            let unserved_time = elapsed > UNSERVED_TIME.0 && elapsed < UNSERVED_TIME.1;
-            unserved += (phase == ConnectionPhase::Asking && unserved_time) as usize;
+            unserved += (phase == ConnectionPhase::Asking
+                && elapsed > UNSERVED_TIME.0
+                && elapsed < UNSERVED_TIME.1) as usize;
             let timeout = match phase {
                 ConnectionPhase::Asking => self.timeouts.ask,
                 ConnectionPhase::Sending => self.timeouts.send,
--- a/crates/runtime/src/executor.rs
+++ b/crates/runtime/src/executor.rs
@@ -128,9 +128,9 @@
     let mut reserve = |n: usize| {
         let wait: Duration = (r.answer_deadline - crate::now()).into();
         match &mut reservation {
-            Some(reserved) => reserved.reach(n, wait),
+            Some(reserved) => reserved.grow_to(n, wait),
             None => {
-                reservation = config.room.take(n, wait);
+                reservation = config.room.reserve(n, wait);
                 reservation.is_some()
             }
         }
--- a/crates/runtime/src/front.rs
+++ b/crates/runtime/src/front.rs
@@ -173,16 +173,14 @@
             };
             if add(&open, 1) >= limit {
                 add(&open, -1);
-                let reply =
-                    Reply::problem(503, "denied", "this node has too many requests in flight").after(2);
+                let reply = Reply::problem(503, "denied", "this node has too many requests").after(2);
                 respond_and_close(req, reply, &connection_monitor);
                 continue;
             }
-            let (handler, config, connection_monitor) =
-                (handler.clone(), config.clone(), connection_monitor.clone());
+            let (handler, config, monitor) = (handler.clone(), config.clone(), connection_monitor.clone());
             let not_started = open.clone();
             let job = move || {
-                serve_one(req, head, &config, &connection_monitor, &*handler);
+                serve_one(req, head, &config, &monitor, &*handler);
                 add(&open, -1);
             };
             // No thread can be started: the request is dropped, and the library answers with 500.
--- a/crates/runtime/src/http_server/body.rs
+++ b/crates/runtime/src/http_server/body.rs
@@ -27,7 +27,7 @@
     /// Reserves memory for `more` bytes beyond those already read.
     fn reserve(&mut self, more: usize) -> Result<(), Reply> {
         let total = self.bytes.len() + more;
-        let fits = self.memory.as_mut().is_none_or(|memory| memory.reach(total, Duration::ZERO));
+        let fits = self.memory.as_mut().is_none_or(|memory| memory.grow_to(total, Duration::ZERO));
         fits.then_some(()).ok_or_else(no_memory)
     }
 }
@@ -44,7 +44,7 @@
     limits: &Limits,
     budget: Option<&Arc<MemoryBudget>>,
 ) -> Result<ReceivedBody, ReadError> {
-    let memory = budget.and_then(|budget| budget.take(0, Duration::ZERO));
+    let memory = budget.and_then(|budget| budget.reserve(0, Duration::ZERO));
     let mut body = ReceivedBody { bytes: vec![], memory };
     match framing {
         Body::None => (),
--- a/crates/runtime/src/origin_response.rs
+++ b/crates/runtime/src/origin_response.rs
@@ -85,7 +85,7 @@
             Ok(_) => (),
         }
     }
-    // If the connection ends where a chunk is expected, the library reports the end of the body.
+    // If the connection ends after any chunk, the library reports the end of the body.
     let complete = size.map_or(!peer_closed(), |n| n == body.len());
     if complete && content_digests_match(&heads, status, &body) {
         complete_response(body, &heads)
--- a/crates/runtime/src/request_parser.rs
+++ b/crates/runtime/src/request_parser.rs
@@ -171,7 +171,7 @@
             Reply::problem(503, "denied", "no memory is available for the request body at present").after(1);
         RequestRejection { reply, close_connection: true }
     };
-    let hold = budget.take(size.unwrap_or(max_body), Duration::from_secs(1)).ok_or_else(no_memory)?;
+    let hold = budget.reserve(size.unwrap_or(max_body), Duration::from_secs(1)).ok_or_else(no_memory)?;
     let peer = req.remote_addr().copied();
     let body = if size == Some(0) { Ok(Some(vec![])) } else { read_bytes(req.as_reader(), size, max_body) };
     match body {
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -52,6 +52,7 @@
     pub copies_mb: usize,
     /// Size of the disk log, in MiB.
     pub ring_mb: usize,
+    /// Number of commands at which an era is ended and the next one begins.
     pub cut_at: usize,
     /// Largest body of a request, in KiB.
     pub body_kb: usize,
@@ -109,7 +110,7 @@
         fresh: ms("fresh_ms", 500, 1500, 1000)?,
         vanish: ms("vanish_ms", 1500, 60_000, 3000)?,
         patience: ms("patience_ms", 100, 60_000, 5000)?,
-        // 60 s, 5 s for the attempt to be sent, the origin timeout, and a margin.
+        // 60 s, 5 s within which an attempt has to be sent, the origin timeout, and a margin.
         window: ms("window_ms", 75_000, 600_000, 90_000)?,
         copies_mb: num("copies_mb", 1, 65_536, 64)? as usize,
         ring_mb: num("ring_mb", 4, 4096, 128)? as usize,
