--- a/crates/runtime/src/connection_monitor.rs
+++ b/crates/runtime/src/connection_monitor.rs
@@ -56,7 +56,7 @@
 const UNSERVED_TIME: (Span, Span) = (Span::ms(200), Span::secs(3));
 /// Most connections opened in one sweep to make the library add threads.
 const MAX_WAKES: usize = 32;
-/// How long a protocol violation is remembered after its connection is no longer found.
+/// How long a protocol violation is remembered although its connection is not found any more.
 const VIOLATION_MEMORY: Span = Span::secs(2);
 /// Time between sweeps.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
