--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -15,8 +15,8 @@
     Invalid { path: PathBuf, source: JsonError },
     #[snafu(display("node {node} is not in the settings file"))]
     NoSuchNode { node: u16 },
-    #[snafu(display("node {node} has role {is}, not {asked}"))]
-    OtherRole { node: u16, is: String, asked: String },
+    #[snafu(display("node {node} has role {actual}, not {expected}"))]
+    WrongRole { node: u16, actual: String, expected: String },
 }
 
 /// One node: its role, location and addresses.
@@ -178,8 +178,8 @@
     pub fn place(&self, node: u16, role: Role) -> std::result::Result<Place, SettingsError> {
         let place = self.nodes.iter().find(|p| p.node == NodeId(node as u64)).cloned();
         let place = place.ok_or(SettingsError::NoSuchNode { node })?;
-        let (is, asked) = (role_name(place.role).to_string(), role_name(role).to_string());
-        (place.role == role).then_some(place).ok_or(SettingsError::OtherRole { node, is, asked })
+        let (actual, expected) = (role_name(place.role).to_string(), role_name(role).to_string());
+        (place.role == role).then_some(place).ok_or(SettingsError::WrongRole { node, actual, expected })
     }
 
     /// The simulated one-way latency between two zones.
