--- a/crates/runtime/src/chunked_records.rs
+++ b/crates/runtime/src/chunked_records.rs
@@ -1,25 +1,26 @@
-//! Records larger than one write: a begin, pieces of bounded size, and an end.
+//! Records too large for a single write: a begin record, chunks of bounded size, and an end.
 //!
-//! Invariant: the end is written only after every piece was synced, and a record
-//! without its end never counts.
-use crate::disk_log_scan::{u32_at, u64_at, RecordKind};
+//! Invariant: the end record is written only after every chunk is synced, and a record
+//! without its end record is ignored.
+use crate::disk_log_scan::{read_u32, read_u64, RecordKind};
 
-/// The largest piece. Bounds the memory that writing takes.
-pub(crate) const PIECE: usize = 64 << 10;
-/// sort of the whole, its length, its checksum
-pub(crate) const BEGIN: usize = 13;
+/// Largest chunk in bytes; bounds the memory that a write takes.
+pub(crate) const MAX_CHUNK_LEN: usize = 64 << 10;
+/// Length in bytes of the payload of a `Begin` record: kind, length and checksum of the
+/// large record.
+pub(crate) const BEGIN_PAYLOAD_LEN: usize = 13;
 
-/// What a `Begin` record says of the whole.
+/// The payload of a `Begin` record: describes the large record that follows in chunks.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Whole {
+pub(crate) struct LargeRecordHeader {
     pub base: bool,
     pub length: u64,
     pub check: u32,
 }
 
-impl Whole {
-    pub(crate) fn of(base: bool, data: &[u8]) -> Whole {
-        Whole { base, length: data.len() as u64, check: crc32fast::hash(data) }
+impl LargeRecordHeader {
+    pub(crate) fn of(base: bool, data: &[u8]) -> LargeRecordHeader {
+        LargeRecordHeader { base, length: data.len() as u64, check: crc32fast::hash(data) }
     }
 
     pub(crate) fn encode(&self) -> Vec<u8> {
@@ -29,80 +30,85 @@
         bytes
     }
 
-    fn decode(bytes: &[u8]) -> Option<Whole> {
+    fn decode(bytes: &[u8]) -> Option<LargeRecordHeader> {
         let base = match bytes.first()? {
             1 => false,
             2 => true,
             _ => return None,
         };
-        (bytes.len() == BEGIN).then(|| Whole { base, length: u64_at(bytes, 1), check: u32_at(bytes, 9) })
+        (bytes.len() == BEGIN_PAYLOAD_LEN).then(|| LargeRecordHeader {
+            base,
+            length: read_u64(bytes, 1),
+            check: read_u32(bytes, 9),
+        })
     }
 }
 
-/// A record that began and has not ended yet.
-struct Open {
-    whole: Whole,
-    /// The segment that it began in.
+/// A large record whose end has not been read yet.
+struct IncompleteRecord {
+    header: LargeRecordHeader,
+    /// The segment in which it begins.
     segment: u64,
     data: Vec<u8>,
 }
 
-/// A record that does not fit what began: the log is damaged.
+/// A chunk or end record that does not belong to the record begun before: the log is corrupt.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) struct Unfit;
+pub(crate) struct OutOfSequence;
 
-/// Puts the records of a log together, in order.
+/// Rebuilds the contents of a log from its records, which must be passed in order.
 #[derive(Default)]
 pub(crate) struct Assembler {
-    open: Option<Open>,
-    /// All that counts: the last base and what follows it.
+    incomplete: Option<IncompleteRecord>,
+    /// The last base and the records after it.
     pub records: Vec<Vec<u8>>,
-    /// The segment in which the last base began.
-    pub base_at: Option<u64>,
+    /// The segment in which the last base begins.
+    pub base_segment: Option<u64>,
 }
 
 impl Assembler {
-    /// The segment in which a base began that never got its end.
-    pub(crate) fn abandoned(&self) -> Option<u64> {
-        self.open.as_ref().filter(|o| o.whole.base).map(|o| o.segment)
+    /// The first segment of a base that was never completed.
+    pub(crate) fn incomplete_base(&self) -> Option<u64> {
+        self.incomplete.as_ref().filter(|r| r.header.base).map(|r| r.segment)
     }
 
-    pub(crate) fn take(&mut self, segment: u64, sort: RecordKind, data: Vec<u8>) -> Result<(), Unfit> {
-        match sort {
+    /// Adds the next record of the log, which was read from `segment`.
+    pub(crate) fn add(&mut self, segment: u64, kind: RecordKind, data: Vec<u8>) -> Result<(), OutOfSequence> {
+        match kind {
             RecordKind::Seal => (),
             RecordKind::Plain => {
-                self.open = None;
+                self.incomplete = None;
                 self.records.push(data);
             }
             RecordKind::Base => {
-                self.open = None;
-                self.replace(segment, data);
+                self.incomplete = None;
+                self.replace_with_base(segment, data);
             }
             RecordKind::Begin => {
-                let whole = Whole::decode(&data).ok_or(Unfit)?;
-                self.open = Some(Open { whole, segment, data: vec![] });
+                let header = LargeRecordHeader::decode(&data).ok_or(OutOfSequence)?;
+                self.incomplete = Some(IncompleteRecord { header, segment, data: vec![] });
             }
-            RecordKind::Piece => self.open.as_mut().ok_or(Unfit)?.data.extend(data),
-            RecordKind::End => self.end()?,
+            RecordKind::Chunk => self.incomplete.as_mut().ok_or(OutOfSequence)?.data.extend(data),
+            RecordKind::End => self.finish()?,
         }
         Ok(())
     }
 
-    fn end(&mut self) -> Result<(), Unfit> {
-        let Open { whole, segment, data } = self.open.take().ok_or(Unfit)?;
-        if Whole::of(whole.base, &data) != whole {
-            return Err(Unfit);
+    fn finish(&mut self) -> Result<(), OutOfSequence> {
+        let IncompleteRecord { header, segment, data } = self.incomplete.take().ok_or(OutOfSequence)?;
+        if LargeRecordHeader::of(header.base, &data) != header {
+            return Err(OutOfSequence);
         }
-        if whole.base {
-            self.replace(segment, data);
+        if header.base {
+            self.replace_with_base(segment, data);
         } else {
             self.records.push(data);
         }
         Ok(())
     }
 
-    fn replace(&mut self, segment: u64, data: Vec<u8>) {
+    fn replace_with_base(&mut self, segment: u64, data: Vec<u8>) {
         self.records = vec![data];
-        self.base_at = Some(segment);
+        self.base_segment = Some(segment);
     }
 }
--- a/crates/runtime/src/full_disk.rs
+++ b/crates/runtime/src/full_disk.rs
@@ -1,16 +1,17 @@
-//! Writing to a disk that may be full for a while. All writes of the ring name their place, so
-//! one that failed for want of room is simply done again; nothing was promised meanwhile.
+//! Writes to a disk that may be full for a while. The disk log writes at explicit offsets, so a
+//! write that failed for lack of space can simply be repeated; nothing is acknowledged before
+//! it succeeds.
 use std::fs::File;
 use std::io::{self, ErrorKind};
 use std::os::unix::fs::FileExt;
 use std::thread;
 use std::time::Duration;
 
-/// How long to wait before a write is done again.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay before a failed write is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Does a write again for as long as the disk is full. Any other failure is the caller's:
-/// what a disk holds after one is not known.
+/// Repeats a write while the disk or the quota is full, calling `pause` after each failure.
+/// Any other error is returned at once, for the state of the disk after it is unknown.
 pub fn retry_while_full(
     mut write: impl FnMut() -> io::Result<()>,
     mut pause: impl FnMut(),
@@ -23,8 +24,8 @@
     }
 }
 
-/// Writes all of it at a place of the file, however long the disk is full; to whoever waits
-/// for the sync this is a disk that takes long.
+/// Writes all of `data` at byte `at`, blocking while the disk is full. A caller that waits
+/// for the sync sees this as a slow disk.
 pub(crate) fn write_all_at(file: &File, data: &[u8], at: u64) -> io::Result<()> {
-    retry_while_full(|| file.write_all_at(data, at), || thread::sleep(PAUSE))
+    retry_while_full(|| file.write_all_at(data, at), || thread::sleep(RETRY_DELAY))
 }
--- a/crates/runtime/src/net.rs
+++ b/crates/runtime/src/net.rs
@@ -16,7 +16,7 @@
 pub use counts::Counts;
 pub use metrics::{LinkMetrics, PartLinkMetrics};
 
-use crate::frame::LARGEST;
+use crate::frame::MAX_CONTENT_LEN;
 use control_state::Msg;
 use counts::count;
 use io_thread::IoThread;
@@ -56,7 +56,7 @@
     /// Queues a message until the next flush.
     pub fn queue(&mut self, to: Addr, m: &Msg) {
         let Ok(content) = postcard::to_stdvec(m) else { return };
-        if content.len() > LARGEST {
+        if content.len() > MAX_CONTENT_LEN {
             return count(&self.counts.dropped, 1);
         }
         let now = Instant::now();
