--- a/crates/runtime/src/net/counts.rs
+++ b/crates/runtime/src/net/counts.rs
@@ -1,50 +1,53 @@
-//! Counters of one part's links.
+//! Counters of the links of one part.
 use super::PartLinkMetrics;
 use crate::frame::FrameError;
 use slog::{warn, Logger};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// What the links of one part have done so far.
+/// Totals of the links of one part since the process started.
 #[derive(Default, Debug)]
 pub struct Counts {
+    /// Messages queued to be sent.
     pub sent: AtomicU64,
+    /// Messages received.
     pub received: AtomicU64,
-    /// Messages not sent, for whatever reason.
+    /// Messages dropped before they were sent, for any reason.
     pub dropped: AtomicU64,
-    /// Of those: too old to mean anything.
+    /// Of those: dropped because they had expired.
     pub expired: AtomicU64,
-    /// Of those: pushed out by newer ones when a link's queue was full.
+    /// Of those: dropped for newer ones because the queue of a link was full.
     pub overflowed: AtomicU64,
-    /// Messages that arrived and were not taken in: the part had fallen behind, and too many
-    /// waited, or they meant nothing any more when it came to them.
+    /// Messages received but dropped because too many were waiting for the part.
     pub inbox_full: AtomicU64,
+    /// Messages received but dropped because they had expired before the part came to them.
     pub inbox_expired: AtomicU64,
-    /// Connections ended for what came on them, and
+    /// Connections closed because of an invalid frame.
     pub bad_frames: AtomicU64,
-    /// those among them that spoke another version.
+    /// Of those: the frame had another protocol version.
     pub other_versions: AtomicU64,
-    /// Where the first frame of another version is named.
+    /// Logger for the first frame of another protocol version.
     pub log: OnceLock<Logger>,
-    /// Connections that came up, and attempts that failed.
+    /// Connections established.
     pub connected: AtomicU64,
+    /// Attempts to connect that failed.
     pub connect_failures: AtomicU64,
-    /// Connections given up because the peer took nothing.
+    /// Connections closed because the peer accepted no data for too long.
     pub stalled: AtomicU64,
-    /// Calls to the kernel that wrote.
+    /// System calls that wrote to a connection.
     pub writes: AtomicU64,
-    /// By kind of message.
+    /// Metrics by kind of message.
     pub metrics: PartLinkMetrics,
 }
 
 impl Counts {
-    /// Counters of links whose figures are entered with others.
+    /// Counters that start at zero and also feed the given metrics.
     pub fn with_metrics(metrics: PartLinkMetrics) -> Counts {
         Counts { metrics, ..Counts::default() }
     }
 
-    /// All counters by name, as a part's health shows them.
-    pub fn figures(&self) -> Vec<(&'static str, u64)> {
+    /// All counters with their names, as shown in the health of a part.
+    pub fn by_name(&self) -> Vec<(&'static str, u64)> {
         let all = [
             ("links sent", &self.sent),
             ("links received", &self.received),
@@ -65,16 +68,16 @@
 }
 
 impl Counts {
-    /// A connection ended for a frame that is not right; the first one of another version
-    /// is named in the log.
-    pub(super) fn refused(&self, problem: &FrameError) {
+    /// Counts a connection closed because of an invalid frame. Logs only the first frame of
+    /// another protocol version.
+    pub(super) fn count_rejected_frame(&self, error: &FrameError) {
         count(&self.bad_frames, 1);
-        if !matches!(problem, FrameError::VersionMismatch { .. }) {
+        if !matches!(error, FrameError::VersionMismatch { .. }) {
             return;
         }
-        let first = self.other_versions.fetch_add(1, Ordering::Relaxed) == 0;
-        if let Some(log) = self.log.get().filter(|_| first) {
-            warn!(log, "link refused"; "problem" => %problem);
+        let is_first = self.other_versions.fetch_add(1, Ordering::Relaxed) == 0;
+        if let Some(log) = self.log.get().filter(|_| is_first) {
+            warn!(log, "link closed: peer sent an unsupported protocol version"; "problem" => %error);
         }
     }
 }
--- a/crates/runtime/src/net/expiry.rs
+++ b/crates/runtime/src/net/expiry.rs
@@ -1,17 +1,17 @@
-//! How long a message still means something that cannot leave, or that its receiver does not
-//! come round to.
+//! How long a message stays useful while it waits to be sent or to be processed.
 use control_state::Msg;
 use std::time::Duration;
 
-/// Sent again and again by the part itself; an old one says nothing a newer one does not.
-const PERIODIC: Duration = Duration::from_secs(2);
-/// A claim that got no answer is given up within half a second.
-const CLAIMS: Duration = Duration::from_secs(1);
-/// Everything else: its sender has asked again, or given up, by then.
-const OTHERS: Duration = Duration::from_secs(10);
+/// For messages that a part sends periodically: a newer one replaces an older one.
+const PERIODIC_LIFETIME: Duration = Duration::from_secs(2);
+/// For claims: a claim without an answer is abandoned within half a second.
+const CLAIM_LIFETIME: Duration = Duration::from_secs(1);
+/// For all others: by then the sender has retried or given up.
+const DEFAULT_LIFETIME: Duration = Duration::from_secs(10);
 
-pub(crate) fn lifetime(m: &Msg) -> Duration {
-    match m {
+/// How long after it was due, or received, a message is still worth delivering.
+pub(crate) fn lifetime(message: &Msg) -> Duration {
+    match message {
         Msg::Heartbeats(..)
         | Msg::Unjoined(_)
         | Msg::Membership(..)
@@ -21,8 +21,8 @@
         | Msg::LeadershipVote { .. }
         | Msg::Sub(_)
         | Msg::Got { .. }
-        | Msg::Digests(_) => PERIODIC,
-        Msg::Claim { .. } | Msg::Claimed { .. } => CLAIMS,
-        _ => OTHERS,
+        | Msg::Digests(_) => PERIODIC_LIFETIME,
+        Msg::Claim { .. } | Msg::Claimed { .. } => CLAIM_LIFETIME,
+        _ => DEFAULT_LIFETIME,
     }
 }
--- a/crates/runtime/src/net/inbound.rs
+++ b/crates/runtime/src/net/inbound.rs
@@ -12,63 +12,73 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What a part does with a message; false ends the connection it came on.
-pub(super) type Take = dyn Fn(Addr, Msg) -> bool + Send;
+/// Delivers a message and its sender to a part; returning false closes the connection.
+pub(super) type OnMessage = dyn Fn(Addr, Msg) -> bool + Send;
 
-/// Reads of one connection before the others have their turn.
+/// Most reads of one connection before other connections are served.
 const READS_PER_TURN: usize = 8;
-/// A peer that lost its power says nothing: after so many seconds of silence it is asked,
-/// so often, at such intervals, and its connection then closed.
+/// TCP keep-alive, because a peer that lost power closes nothing: seconds of silence before
+/// the first probe, seconds between probes, and unanswered probes before the connection is
+/// closed.
 const KEEPALIVE_IDLE_SECS: u32 = 15;
 const KEEPALIVE_INTERVAL_SECS: u32 = 5;
 const KEEPALIVE_COUNT: u32 = 3;
 
-/// Where one part listens.
+/// The listening socket of one part.
 pub(super) struct Listener {
     pub(super) socket: TcpListener,
     pub(super) counts: Arc<Counts>,
-    pub(super) take: Rc<Take>,
+    pub(super) on_message: Rc<OnMessage>,
 }
 
-/// Whether a connection's turn has left something to read.
+/// The state of a connection after its turn to be read.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 pub(super) enum ReadOutcome {
-    /// All that had arrived is read.
+    /// Everything received so far has been read.
     Drained,
-    /// There may be more.
+    /// There may be more to read.
     More,
+    /// The connection has ended or must be closed.
     Ended,
 }
 
-/// Why reading stops for good.
-enum Stop {
+/// Why a connection must be closed.
+enum CloseReason {
     BadFrame(FrameError),
-    /// The part takes no more.
+    /// The part accepts no more messages.
     Refused,
 }
 
-impl From<FrameError> for Stop {
-    fn from(problem: FrameError) -> Stop {
-        Stop::BadFrame(problem)
+impl From<FrameError> for CloseReason {
+    fn from(error: FrameError) -> CloseReason {
+        CloseReason::BadFrame(error)
     }
 }
 
-/// One accepted connection. Its first frame tells who sends.
+/// An accepted connection. Its first frame is the handshake, which identifies the sender.
 pub(super) struct Inbound {
     stream: TcpStream,
     pub(super) listener: Token,
     pub(super) from: Option<Handshake>,
     decoder: FrameDecoder,
     counts: Arc<Counts>,
-    take: Rc<Take>,
+    on_message: Rc<OnMessage>,
 }
 
 impl Inbound {
-    pub(super) fn new(stream: TcpStream, at: Token, listener: &Listener) -> Inbound {
-        let (counts, take) = (listener.counts.clone(), listener.take.clone());
-        Inbound { stream, listener: at, from: None, decoder: FrameDecoder::default(), counts, take }
+    pub(super) fn new(stream: TcpStream, listener_token: Token, listener: &Listener) -> Inbound {
+        let (counts, on_message) = (listener.counts.clone(), listener.on_message.clone());
+        Inbound {
+            stream,
+            listener: listener_token,
+            from: None,
+            decoder: FrameDecoder::default(),
+            counts,
+            on_message,
+        }
     }
 
+    /// Enables keep-alive and returns the stream to be registered.
     pub(super) fn prepare(&mut self) -> nix::Result<&mut TcpStream> {
         setsockopt(&self.stream, KeepAlive, &true)?;
         setsockopt(&self.stream, TcpKeepIdle, &KEEPALIVE_IDLE_SECS)?;
@@ -77,44 +87,50 @@
         Ok(&mut self.stream)
     }
 
-    /// Reads what has arrived, up to a bound. `ending` tells that the peer has closed,
-    /// so that a short read is not the last one.
-    pub(super) fn read(&mut self, scratch: &mut [u8], ending: bool) -> ReadOutcome {
+    /// Reads what was received, at most `READS_PER_TURN` times. `ending` means that the peer has
+    /// closed the connection: then a short read is not the last one, for the end follows.
+    pub(super) fn read(&mut self, buffer: &mut [u8], ending: bool) -> ReadOutcome {
         for _ in 0..READS_PER_TURN {
-            match self.stream.read(scratch) {
+            match self.stream.read(buffer) {
                 Ok(0) => return ReadOutcome::Ended,
                 Ok(n) => {
-                    if !self.feed(&scratch[..n]) {
+                    if !self.feed(&buffer[..n]) {
                         return ReadOutcome::Ended;
                     }
-                    if n < scratch.len() && !ending {
+                    if n < buffer.len() && !ending {
                         return ReadOutcome::Drained;
                     }
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return ReadOutcome::Drained,
-                Err(e) if e.kind() == ErrorKind::Interrupted => (),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadOutcome::Drained,
+                Err(error) if error.kind() == ErrorKind::Interrupted => (),
                 Err(_) => return ReadOutcome::Ended,
             }
         }
         ReadOutcome::More
     }
 
+    /// Decodes and delivers received bytes; false if the connection must be closed.
     fn feed(&mut self, bytes: &[u8]) -> bool {
-        let Inbound { from, decoder, counts, take, .. } = self;
-        let fed = decoder.feed(bytes, |content| on_frame(content, from, counts, &**take));
-        if let Err(Stop::BadFrame(problem)) = &fed {
-            counts.refused(problem);
+        let Inbound { from, decoder, counts, on_message, .. } = self;
+        let result = decoder.feed(bytes, |content| on_frame(content, from, counts, &**on_message));
+        if let Err(CloseReason::BadFrame(error)) = &result {
+            counts.count_rejected_frame(error);
         }
-        fed.is_ok()
+        result.is_ok()
     }
 }
 
-fn on_frame(content: &[u8], from: &mut Option<Handshake>, counts: &Counts, take: &Take) -> Result<(), Stop> {
+fn on_frame(
+    content: &[u8],
+    from: &mut Option<Handshake>,
+    counts: &Counts,
+    on_message: &OnMessage,
+) -> Result<(), CloseReason> {
     let Some(Handshake { from: sender, .. }) = *from else {
         *from = Some(decode(content)?);
         return Ok(());
     };
-    let m: Msg = decode(content)?;
+    let message: Msg = decode(content)?;
     count(&counts.received, 1);
-    take(sender, m).then_some(()).ok_or(Stop::Refused)
+    on_message(sender, message).then_some(()).ok_or(CloseReason::Refused)
 }
--- a/crates/runtime/src/net/metrics.rs
+++ b/crates/runtime/src/net/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures of what the links of a process send.
+//! Metrics of the messages that the links of a process send.
 use primitives::metrics::{wait_histograms, WaitHistograms};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -18,7 +18,7 @@
     message: &'static str,
 }
 
-/// What all links of a process sent; clones count together.
+/// Metrics of all links of a process. Clones share their counters.
 #[derive(Clone, Debug)]
 pub struct LinkMetrics {
     messages: Family<MessageLabels, Counter>,
@@ -33,7 +33,7 @@
 }
 
 impl LinkMetrics {
-    /// Enters all figures into a registry.
+    /// Registers all metrics.
     pub fn register(&self, registry: &mut Registry) {
         registry.register("link_messages", "Messages queued to be sent, by kind", self.messages.clone());
         registry.register_with_unit(
@@ -50,18 +50,18 @@
         );
     }
 
-    /// The figures of one part's links.
+    /// The metrics of the links of one part.
     pub fn of_part(&self, part: &'static str) -> PartLinkMetrics {
         let wait = self.waits.get_or_create(&PartLabels { part }).clone();
-        PartLinkMetrics { part, all: self.clone(), wait }
+        PartLinkMetrics { part, metrics: self.clone(), wait }
     }
 }
 
-/// What the links of one part sent.
+/// Metrics of the links of one part.
 #[derive(Clone, Debug)]
 pub struct PartLinkMetrics {
     part: &'static str,
-    all: LinkMetrics,
+    metrics: LinkMetrics,
     wait: Histogram,
 }
 
@@ -72,14 +72,15 @@
 }
 
 impl PartLinkMetrics {
-    pub(super) fn note_queued(&self, message: &'static str, bytes: usize) {
+    /// Counts a message queued to be sent, with the size of its frame.
+    pub(super) fn record_queued(&self, message: &'static str, bytes: usize) {
         let labels = MessageLabels { part: self.part, message };
-        self.all.messages.get_or_create(&labels).inc();
-        self.all.bytes.get_or_create(&labels).inc_by(bytes as u64);
+        self.metrics.messages.get_or_create(&labels).inc();
+        self.metrics.bytes.get_or_create(&labels).inc_by(bytes as u64);
     }
 
-    /// A message was handed to the kernel whole, after so long.
-    pub(super) fn note_written(&self, waited: Duration) {
+    /// Records how long a frame waited after it was due until the kernel accepted all of it.
+    pub(super) fn record_written(&self, waited: Duration) {
         self.wait.observe(waited.as_secs_f64());
     }
 }
--- a/crates/runtime/src/process.rs
+++ b/crates/runtime/src/process.rs
@@ -1,26 +1,27 @@
-//! What the kernel tells about this process.
+//! Resource usage of this process, as the kernel reports it.
 
-const STATUS: &str = "/proc/self/status";
+const STATUS_FILE: &str = "/proc/self/status";
 
-/// Threads held now; none where the kernel's figures cannot be read.
+/// The number of threads; `None` if the status file of the kernel cannot be read.
 pub fn threads() -> Option<u64> {
-    figure("Threads:")?.parse().ok()
+    status_value("Threads:")?.parse().ok()
 }
 
-/// Bytes of memory in use; none where the kernel's figures cannot be read.
+/// Resident memory in bytes; `None` if the status file of the kernel cannot be read.
 pub fn resident_bytes() -> Option<usize> {
-    let kib: usize = figure("VmRSS:")?.strip_suffix("kB")?.trim().parse().ok()?;
+    let kib: usize = status_value("VmRSS:")?.strip_suffix("kB")?.trim().parse().ok()?;
     Some(kib << 10)
 }
 
-fn figure(name: &str) -> Option<String> {
-    let status = std::fs::read_to_string(STATUS).ok()?;
+/// The value of one line of the status file.
+fn status_value(name: &str) -> Option<String> {
+    let status = std::fs::read_to_string(STATUS_FILE).ok()?;
     let line = status.lines().find_map(|l| l.strip_prefix(name))?;
     Some(line.trim().to_string())
 }
 
-/// Hands memory that was freed back to the kernel. The allocator keeps what lies between live
-/// allocations of its arenas, so that a burst of messages is held long after it is over.
+/// Returns freed memory to the kernel. The allocator keeps free memory that lies between live
+/// allocations, so that without this the memory of a burst of messages stays resident long after.
 pub fn release_freed_memory() {
     // SAFETY: malloc_trim takes the allocator's own locks and touches no live allocation.
     #[cfg(all(target_os = "linux", target_env = "gnu"))]
--- a/crates/runtime/src/shell.rs
+++ b/crates/runtime/src/shell.rs
@@ -1,5 +1,5 @@
-//! Runs a part as a stakker actor: inputs become steps, outputs are carried out
-//! in order, none before the saves ahead of it are synced.
+//! Runs a part as a stakker actor: each input is one step of the part, and its outputs are
+//! executed in order, none before the saves ahead of it are synced.
 mod disk;
 mod handle;
 mod inbox;
@@ -26,59 +26,67 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// What an actor needs to run a part.
 pub struct Frame {
     pub part: Box<dyn Part>,
+    /// Outputs to execute before the first step.
     pub first: Vec<Out>,
+    /// Where saves are written; without a log they are dropped.
     pub ring: Option<DiskLog>,
+    /// Sends the messages of the part.
     pub net: Net,
-    /// Where rounds go to be run.
+    /// Receives the requests to origins that the part starts.
     pub rounds: Option<Sender<Round>>,
     pub log: Logger,
 }
 
 struct Shell {
     part: Box<dyn Part>,
-    /// Invariant: in order; nothing leaves past a save that is not yet synced.
-    line: VecDeque<Out>,
-    /// Waits for the sync under way.
-    held: Vec<Out>,
+    /// Outputs not yet executed, in order. Invariant: none is executed before the saves ahead of
+    /// it are synced.
+    outputs: VecDeque<Out>,
+    /// Outputs to execute once the current sync is done.
+    after_sync: Vec<Out>,
+    /// Passes batches of saves to the disk thread; `None` without a disk log.
     disk: Option<Sender<Vec<Out>>>,
+    /// The disk thread is writing a batch.
     syncing: bool,
     net: Net,
-    /// Queued messages will be written once the steps at hand are done.
+    /// A flush of the links is scheduled for after the current steps.
     flush_scheduled: bool,
-    /// Has heard something since its last tick.
+    /// An event has arrived since the last tick.
     active: bool,
     rounds: Option<Sender<Round>>,
-    asks: HashMap<Token, Sender<NodeReply>>,
-    next: u64,
+    /// Where the replies to unanswered requests go.
+    pending_asks: HashMap<Token, Sender<NodeReply>>,
+    last_token: u64,
     waiting: Waiting,
     log: Logger,
 }
 
-/// Between ticks of a part that is being spoken to.
+/// Interval between ticks of a part that receives events.
 const TICK: Duration = Duration::from_millis(10);
-/// Between ticks of one that heard nothing since its last. Invariant: far below the pause
-/// that a part takes for a freeze of its process.
+/// Interval between ticks of a part that received no event since its last tick. Invariant: far
+/// below the pause between ticks that a part takes for a freeze of its process.
 const IDLE_TICK: Duration = Duration::from_millis(20);
 
 impl Shell {
-    fn init(cx: CX![], f: Frame, disk: Option<Sender<Vec<Out>>>, waiting: Waiting) -> Option<Shell> {
+    fn init(cx: CX![], setup: Frame, disk: Option<Sender<Vec<Out>>>, waiting: Waiting) -> Option<Shell> {
         after!(TICK, [cx], tick());
         let mut s = Shell {
-            part: f.part,
-            line: f.first.into(),
-            held: vec![],
+            part: setup.part,
+            outputs: setup.first.into(),
+            after_sync: vec![],
             disk,
             syncing: false,
-            net: f.net,
+            net: setup.net,
             flush_scheduled: false,
             active: true,
-            rounds: f.rounds,
-            asks: HashMap::new(),
-            next: 0,
+            rounds: setup.rounds,
+            pending_asks: HashMap::new(),
+            last_token: 0,
             waiting,
-            log: f.log,
+            log: setup.log,
         };
         s.flush();
         s.flush_links_later(cx);
@@ -88,11 +96,11 @@
     fn tick(&mut self, cx: CX![]) {
         self.step(In::Tick);
         self.flush_links_later(cx);
-        let next = if std::mem::take(&mut self.active) { TICK } else { IDLE_TICK };
-        after!(next, [cx], tick());
+        let interval = if std::mem::take(&mut self.active) { TICK } else { IDLE_TICK };
+        after!(interval, [cx], tick());
     }
 
-    /// One write for each link, with all messages of the steps before it.
+    /// Schedules one write per link for all messages of the current steps.
     fn flush_links_later(&mut self, cx: CX![]) {
         if self.net.has_queued() && !self.flush_scheduled {
             self.flush_scheduled = true;
@@ -105,24 +113,24 @@
         self.net.flush();
     }
 
-    fn event(&mut self, cx: CX![], e: Event) {
+    fn event(&mut self, cx: CX![], event: Event) {
         self.active = true;
         self.waiting.done();
-        match e {
-            Event::Msg(from, m, came) => self.take(from, m, came),
-            Event::Ask(a, tx) => {
-                self.next += 1;
-                self.asks.insert(Token(self.next), tx);
-                self.step(In::Ask(Token(self.next), a));
+        match event {
+            Event::Msg(from, message, received_at) => self.on_message(from, message, received_at),
+            Event::Ask(ask, reply_to) => {
+                self.last_token += 1;
+                self.pending_asks.insert(Token(self.last_token), reply_to);
+                self.step(In::Ask(Token(self.last_token), ask));
             }
             Event::Synced(true) => {
                 self.syncing = false;
-                let held = std::mem::take(&mut self.held);
-                held.into_iter().for_each(|o| self.carry(o));
+                let after_sync = std::mem::take(&mut self.after_sync);
+                after_sync.into_iter().for_each(|output| self.execute(output));
                 self.flush();
             }
             Event::Synced(false) => {
-                error!(self.log, "disk failed: stopping, for nothing can be promised any more");
+                error!(self.log, "disk write failed: exiting, because nothing more can be stored durably");
                 std::process::exit(74);
             }
             Event::Stop => {
@@ -133,106 +141,108 @@
         self.flush_links_later(cx);
     }
 
-    /// What waited until it means nothing any more is dropped, so that a part that has fallen
-    /// behind catches up with what still does.
-    fn take(&mut self, from: Addr, m: Msg, came: Instant) {
-        if came.elapsed() < lifetime(&m) {
-            self.step(In::Msg(from, m));
+    /// Drops a message that expired while it waited, so that a part that has fallen behind
+    /// catches up with messages that are still useful.
+    fn on_message(&mut self, from: Addr, message: Msg, received_at: Instant) {
+        if received_at.elapsed() < lifetime(&message) {
+            self.step(In::Msg(from, message));
         } else {
             self.net.counts.inbox_expired.fetch_add(1, Relaxed);
         }
     }
 
-    fn step(&mut self, i: In) {
-        let mut out = vec![];
-        self.part.step(crate::now(), i, &mut out);
-        let (immediate, ordered): (Vec<Out>, Vec<Out>) = out.into_iter().partition(Out::is_immediate);
-        immediate.into_iter().for_each(|o| self.carry(o));
-        self.line.extend(ordered);
+    fn step(&mut self, input: In) {
+        let mut outputs = vec![];
+        self.part.step(crate::now(), input, &mut outputs);
+        let (immediate, ordered): (Vec<Out>, Vec<Out>) = outputs.into_iter().partition(Out::is_immediate);
+        immediate.into_iter().for_each(|output| self.execute(output));
+        self.outputs.extend(ordered);
         self.flush();
     }
 
-    /// Sync, then send. What gathers during a sync goes with the next one.
+    /// Syncs the saves, then executes the other outputs. Outputs that arrive during a sync wait
+    /// for the next one.
     fn flush(&mut self) {
-        if self.syncing || self.line.is_empty() {
+        if self.syncing || self.outputs.is_empty() {
             return;
         }
-        let batch: Vec<Out> = self.line.drain(..).collect();
-        let saves = |o: &Out| matches!(o, Out::Save(_) | Out::Base(_));
-        let (save, rest): (Vec<Out>, Vec<Out>) = batch.into_iter().partition(saves);
-        match self.disk.as_ref().filter(|_| !save.is_empty()) {
-            Some(d) => {
+        let batch: Vec<Out> = self.outputs.drain(..).collect();
+        let is_save = |output: &Out| matches!(output, Out::Save(_) | Out::Base(_));
+        let (saves, rest): (Vec<Out>, Vec<Out>) = batch.into_iter().partition(is_save);
+        match self.disk.as_ref().filter(|_| !saves.is_empty()) {
+            Some(disk) => {
                 self.syncing = true;
-                self.held = rest;
-                let _ = d.send(save);
+                self.after_sync = rest;
+                let _ = disk.send(saves);
             }
-            None => rest.into_iter().for_each(|o| self.carry(o)),
+            None => rest.into_iter().for_each(|output| self.execute(output)),
         }
     }
 
-    /// What the shell holds for its part, for its health.
-    fn figures(&self) -> Vec<(&'static str, u64)> {
-        let mut all = self.net.counts.figures();
+    /// Counters of the shell and its links, added to the health of the part.
+    fn counters(&self) -> Vec<(&'static str, u64)> {
+        let mut all = self.net.counts.by_name();
         all.push(("links queued bytes", self.net.queued_bytes() as u64));
         all.push(("inbox", self.waiting.count() as u64));
-        all.push(("outputs held", (self.line.len() + self.held.len()) as u64));
+        all.push(("outputs held", (self.outputs.len() + self.after_sync.len()) as u64));
         all.extend(process::threads().map(|n| ("threads", n)));
         all
     }
 
-    fn carry(&mut self, o: Out) {
-        match o {
-            Out::Send(to, m) | Out::SendNow(to, m) => self.net.queue(to, &m),
-            Out::Tell(t, mut r) => {
-                if let NodeReply::Health(health) = &mut r {
-                    health.counts.extend(self.figures());
+    fn execute(&mut self, output: Out) {
+        match output {
+            Out::Send(to, message) | Out::SendNow(to, message) => self.net.queue(to, &message),
+            Out::Tell(token, mut reply) => {
+                if let NodeReply::Health(health) = &mut reply {
+                    health.counts.extend(self.counters());
                 }
-                if let Some(tx) = self.asks.remove(&t) {
-                    let _ = tx.send(r);
+                if let Some(reply_to) = self.pending_asks.remove(&token) {
+                    let _ = reply_to.send(reply);
                 }
             }
-            Out::Fetch(r) => self.rounds.iter().for_each(|tx| {
-                let _ = tx.send(r.clone());
+            Out::Fetch(round) => self.rounds.iter().for_each(|sender| {
+                let _ = sender.send(round.clone());
             }),
-            Out::Note(what) => info!(self.log, "{}", what),
-            Out::Alarm(why) => error!(self.log, "{}", why),
+            Out::Note(text) => info!(self.log, "{}", text),
+            Out::Alarm(text) => error!(self.log, "{}", text),
             Out::Report(report) => error!(self.log, "{}", report),
             Out::Save(_) | Out::Base(_) => (),
         }
     }
 }
 
-/// Runs the part until it is stopped; `front` gets the handle first.
-pub fn run(f: Frame, listener: TcpListener, counts: Arc<Counts>, front: impl FnOnce(Handle)) {
+/// Runs the part on this thread until it is stopped. `on_start` is called with the handle
+/// before the first event is processed.
+pub fn run(setup: Frame, listener: TcpListener, counts: Arc<Counts>, on_start: impl FnOnce(Handle)) {
     let mut stakker = Stakker::new(Instant::now());
     let s = &mut stakker;
-    let (wake, woken) = sync_channel::<()>(1);
+    let (waker, wake_ups) = sync_channel::<()>(1);
     s.set_poll_waker(move || {
-        let _ = wake.try_send(());
+        let _ = waker.try_send(());
     });
-    let (tx, rx) = channel();
-    let mut f = f;
-    let ring = f.ring.take();
-    let log = f.log.clone();
-    let disk = ring.as_ref().map(|_| tx);
+    let (batch_sender, batches) = channel();
+    let mut setup = setup;
+    let disk_log = setup.ring.take();
+    let log = setup.log.clone();
+    let disk = disk_log.as_ref().map(|_| batch_sender);
     let waiting = Waiting::default();
-    let shell = actor!(s, Shell::init(f, disk, waiting.clone()), ret_shutdown!(s));
+    let shell = actor!(s, Shell::init(setup, disk, waiting.clone()), ret_shutdown!(s));
     let (events, _guard) = Channel::new(s, fwd_to!([shell], event() as (Event)));
-    let chan = Inbox::new(events, waiting);
-    let (tell, dlog) = (chan.clone(), log.clone());
-    if let Some(r) = ring {
-        thread::spawn(move || run_disk_thread(r, rx, tell, dlog));
+    let inbox = Inbox::new(events, waiting);
+    let (disk_inbox, disk_logger) = (inbox.clone(), log.clone());
+    if let Some(disk_log) = disk_log {
+        thread::spawn(move || run_disk_thread(disk_log, batches, disk_inbox, disk_logger));
     }
-    let take = chan.clone();
+    let message_inbox = inbox.clone();
     let _ = counts.log.set(log.clone());
-    let counted = counts.clone();
-    net::listen(listener, counts, move |from, m| take.offer(from, m, &counted));
-    front(Handle::new(chan));
+    let inbox_counts = counts.clone();
+    net::listen(listener, counts, move |from, message| message_inbox.offer(from, message, &inbox_counts));
+    on_start(Handle::new(inbox));
     info!(log, "serving");
     s.run(Instant::now(), false);
     while s.not_shutdown() {
         let wait = s.next_wait_max(Instant::now(), IDLE_TICK, false);
-        let _ = woken.recv_timeout(wait);
+        let _ = wake_ups.recv_timeout(wait);
         s.poll_wake();
         s.run(Instant::now(), false);
     }
--- a/crates/runtime/src/shell/handle.rs
+++ b/crates/runtime/src/shell/handle.rs
@@ -1,4 +1,4 @@
-//! How other threads reach a part's actor.
+//! The handle through which other threads reach the actor of a part.
 use super::inbox::Inbox;
 use control_state::*;
 use primitives::Addr;
@@ -7,16 +7,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What reaches a part's actor from other threads.
+/// What other threads send to the actor of a part.
 pub enum Event {
-    /// With the time of its arrival.
+    /// A message with its sender and the time it was received.
     Msg(Addr, Msg, Instant),
+    /// A request, and where its reply goes.
     Ask(Ask, Sender<NodeReply>),
+    /// The disk thread has finished a batch; false if the write failed.
     Synced(bool),
+    /// Stop the actor.
     Stop,
 }
 
-/// Speaks to a shell from any thread.
+/// Sends requests to a running part, from any thread.
 #[derive(Clone)]
 pub struct Handle(Inbox, Arc<AtomicBool>);
 
@@ -24,24 +27,29 @@
     pub(super) fn new(events: Inbox) -> Handle {
         Handle(events, Arc::default())
     }
-    /// Asks and waits for the receipt, at most so long.
-    pub fn ask(&self, a: Ask, wait: Duration) -> Option<NodeReply> {
-        let (tx, rx) = channel();
-        self.0.send(Event::Ask(a, tx));
-        rx.recv_timeout(wait).ok()
+
+    /// Sends a request and waits for its reply, at most for `timeout`; `None` if there is none.
+    pub fn ask(&self, ask: Ask, timeout: Duration) -> Option<NodeReply> {
+        let (reply_to, reply) = channel();
+        self.0.send(Event::Ask(ask, reply_to));
+        reply.recv_timeout(timeout).ok()
     }
-    /// What callers may send, where the part says so.
+
+    /// The limits for callers; `None` if the part sets none or does not reply within 200 ms.
     pub fn limits(&self) -> Option<CallerLimits> {
         match self.ask(Ask::Limits, Duration::from_millis(200)) {
-            Some(NodeReply::Limits(l)) => l,
+            Some(NodeReply::Limits(limits)) => limits,
             _ => None,
         }
     }
-    /// Nothing is in hand any more and nothing new is begun: what now finds no
-    /// answer here was never sent anywhere.
+
+    /// Whether `stop` was called. By then no request is in flight and none is started, so that a
+    /// request without a reply was never sent anywhere.
     pub fn stopping(&self) -> bool {
         self.1.load(Ordering::SeqCst)
     }
+
+    /// Stops the actor after the events that are already waiting.
     pub fn stop(&self) {
         self.1.store(true, Ordering::SeqCst);
         self.0.send(Event::Stop);
--- a/crates/runtime/src/shell/inbox.rs
+++ b/crates/runtime/src/shell/inbox.rs
@@ -1,4 +1,4 @@
-//! The way into a part's actor, with a count of what waits there.
+//! The inbox of a part's actor, with a count of the events that wait in it.
 use super::Event;
 use crate::net::Counts;
 use control_state::Msg;
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Events that may wait; no more messages are taken beside them.
-const MAX_WAITING_PIECES: usize = 4096;
+/// Messages are dropped while this many events are waiting; other events are always accepted.
+const MAX_WAITING_EVENTS: usize = 4096;
 
-/// Events sent to an actor and not yet handled.
+/// The number of events sent to an actor and not yet handled; clones share it.
 #[derive(Clone, Default)]
 pub(super) struct Waiting(Arc<AtomicUsize>);
 
@@ -20,7 +20,7 @@
         self.0.load(Relaxed)
     }
 
-    /// One was handled.
+    /// Counts one event as handled.
     pub(super) fn done(&self) {
         self.0.fetch_sub(1, Relaxed);
     }
@@ -38,17 +38,17 @@
         Inbox { events, waiting }
     }
 
-    /// A message that arrived; it is dropped if the actor has fallen far behind, for any
-    /// message may be lost. False once the actor is gone.
+    /// Passes on a received message. It is dropped and counted if the actor has fallen far behind,
+    /// since any message may be lost. Returns false once the actor has stopped.
     pub(super) fn offer(&self, from: Addr, message: Msg, counts: &Counts) -> bool {
-        if self.waiting.count() >= MAX_WAITING_PIECES {
+        if self.waiting.count() >= MAX_WAITING_EVENTS {
             counts.inbox_full.fetch_add(1, Relaxed);
             return true;
         }
         self.send(Event::Msg(from, message, Instant::now()))
     }
 
-    /// False once the actor is gone.
+    /// Sends an event without a limit. Returns false once the actor has stopped.
     pub(super) fn send(&self, event: Event) -> bool {
         self.waiting.0.fetch_add(1, Relaxed);
         self.events.send(event)
