--- a/crates/runtime/src/disk_log.rs
+++ b/crates/runtime/src/disk_log.rs
@@ -21,7 +21,7 @@
     Missing { path: PathBuf },
     #[snafu(display("disk log full: every file holds records that are still needed"))]
     Full,
-    #[snafu(display("{} has {actual} bytes, configured are {size}: the file size of an existing disk log cannot be changed", path.display()))]
+    #[snafu(display("{} has {actual} bytes but {size} are configured: the file size of an existing disk log cannot be changed", path.display()))]
     SizeMismatch { path: PathBuf, actual: u64, size: u64 },
     #[snafu(display("record of {size} bytes does not fit in the disk log"))]
     TooLarge { size: usize },
@@ -40,6 +40,7 @@
     pub(crate) size: u64,
     /// The segment being written; 0 in an empty log.
     pub(crate) segment: u64,
+    /// The oldest segment with records that are still needed.
     pub(crate) oldest_needed: u64,
     /// Byte offset of the next record in the current file; 0 in an empty log.
     pub(crate) at: u64,
@@ -79,6 +80,7 @@
         Ok((log, records))
     }
 
+    /// The file in which a segment is stored.
     pub(crate) fn path(&self, segment: u64) -> PathBuf {
         self.dir.join(format!("ring-{}", segment as usize % self.files.len()))
     }
@@ -102,8 +104,8 @@
         &self.files[self.segment as usize % self.files.len()]
     }
 
-    /// Begins the next segment. `live` is the oldest segment needed from then on; `spare` files
-    /// are left unused.
+    /// Begins the next segment. `oldest_needed` is the oldest segment that is needed from then on;
+    /// `spare` files are left unused.
     fn begin_segment(&mut self, oldest_needed: u64, spare: u64) -> Result<()> {
         if self.segment + 1 + spare - self.oldest_needed >= self.files.len() as u64 {
             return FullSnafu.fail();
@@ -117,6 +119,7 @@
         Ok(())
     }
 
+    /// Ends the current segment with a synced seal, unless it has one.
     fn seal(&mut self) -> Result<()> {
         if self.at >= SEGMENT_HEADER_LEN as u64 && !self.sealed {
             self.write_record(RecordKind::Seal, &[])?;
@@ -146,7 +149,8 @@
     }
 
     /// Appends a record, which is durable only once `sync` has returned. Fails with
-    /// [`DiskLogError::Full`] if no file is free; one stays reserved for a base.
+    /// [`DiskLogError::Full`] if no file is free; one stays reserved for a base. The first record of
+    /// an empty log becomes a base.
     ///
     /// Invariant: the caller syncs before the next `save`, so a valid record after an invalid
     /// one always means corruption and never an interrupted write.
--- a/crates/runtime/src/disk_log_recovery.rs
+++ b/crates/runtime/src/disk_log_recovery.rs
@@ -64,6 +64,7 @@
         Ok(None)
     }
 
+    /// Reads and scans the file of a segment, which must hold that segment.
     fn scan_file(&self, segment: u64) -> Result<SegmentScan> {
         let mut buffer = vec![0u8; self.size as usize];
         let file = &self.files[segment as usize % self.files.len()];
@@ -72,6 +73,8 @@
         scanned.map_or_else(|| MissingSnafu { path: self.path(segment) }.fail(), Ok)
     }
 
+    /// Checks that a segment is intact, sealed unless it is the last one, and begins with a base if
+    /// it is the oldest needed.
     fn check(&self, scanned: &SegmentScan, oldest_needed: u64, last_segment_number: u64) -> Result<()> {
         let unsealed = scanned.segment < last_segment_number && !scanned.sealed();
         let lacks_base = scanned.segment == oldest_needed && !scanned.starts_with_base();
@@ -99,13 +102,15 @@
         for (index, file) in self.files.iter().enumerate() {
             let at = self.path(index as u64);
             if SegmentHeader::read(file).context(DiskSnafu { path: at.clone() })?.is_none() {
-                self.clear_one(file, at)?;
+                self.clear_file(file, at)?;
             }
         }
         Ok(())
     }
 
-    fn clear_one(&self, file: &File, path: PathBuf) -> Result<()> {
+    /// Fills a file without a valid header with zeros, unless that would destroy records of the
+    /// current log.
+    fn clear_file(&self, file: &File, path: PathBuf) -> Result<()> {
         let mut buffer = vec![0u8; self.size as usize];
         file.read_exact_at(&mut buffer, 0).context(DiskSnafu { path: path.clone() })?;
         if buffer.iter().all(|b| *b == 0) {
--- a/crates/runtime/src/frame.rs
+++ b/crates/runtime/src/frame.rs
@@ -26,7 +26,7 @@
     CorruptFrame,
 }
 
-/// Encodes an encoded message as a frame.
+/// Wraps an encoded message in a frame.
 pub fn frame(content: &[u8]) -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     bytes.push(VERSION);
--- a/crates/runtime/src/net/link.rs
+++ b/crates/runtime/src/net/link.rs
@@ -1,5 +1,5 @@
-//! A link to one peer, for one class of messages: a queue and the connection that drains it. Senders write directly
-//! while the connection accepts data; the I/O thread connects, waits and retries.
+//! A link to one peer, for one class of messages: a queue and the connection that drains it. Senders
+//! write directly while the connection accepts data; the I/O thread connects, waits and retries.
 use super::send_queue::{SendQueue, WriteOutcome};
 use super::{count, Counts};
 use mio::net::TcpStream;
