--- a/crates/runtime/src/disk_log_recovery.rs
+++ b/crates/runtime/src/disk_log_recovery.rs
@@ -100,9 +100,9 @@
     /// checksum if the next segment in that file gets the number they were written with.
     pub(crate) fn clear_files_without_header(&self) -> Result<()> {
         for (index, file) in self.files.iter().enumerate() {
-            let at = self.path(index as u64);
-            if SegmentHeader::read(file).context(DiskSnafu { path: at.clone() })?.is_none() {
-                self.clear_file(file, at)?;
+            let path = self.path(index as u64);
+            if SegmentHeader::read(file).context(DiskSnafu { path: path.clone() })?.is_none() {
+                self.clear_file(file, path)?;
             }
         }
         Ok(())
