--- a/crates/machine/src/lib.rs
+++ b/crates/machine/src/lib.rs
@@ -1,5 +1,5 @@
-//! A nucleus lanewing: all parts of one machine in one process, for deployments that
-//! place a program on each machine and tell it little about the others.
+//! All parts of one machine (edge, controller and ledger) in one process, for deployments that run one
+//! program on each machine and configure little about the other machines.
 mod leave;
 mod memory;
 mod memory_watch;
@@ -15,96 +15,107 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
 
-/// What the process is told of its place and of what it must keep to.
+/// Configuration of the process: its addresses, its resources and its limits.
 #[derive(Clone, Debug)]
 pub struct MachineConfig {
+    /// Address of all listeners of the parts.
     pub ip: IpAddr,
-    /// The first of the ports that are free for the parts' own links; three are used.
+    /// First of the three consecutive ports for the links between parts, one for each part.
     pub port: u16,
     /// Written `region/zone`.
     pub zone: Zone,
-    /// Machines to begin with.
+    /// Machines whose controllers are contacted at the start.
     pub seeds: Vec<IpAddr>,
-    /// The first start of the whole deployment, on empty disks.
+    /// Whether this is the first start of the whole deployment, with empty disks.
     pub initial: bool,
-    /// Where files may lie, and how many megabytes.
+    /// Data directory and the megabytes that may be used in it.
     pub disk: Option<(PathBuf, u64)>,
-    /// The disk's loss is among those borne: controllers and the ledger may rely on it.
-    pub counted: bool,
-    /// Losses borne at once.
-    pub losses: usize,
-    /// Bits a second of its link, if that is known.
-    pub link: Option<u64>,
-    /// Its share of a processor's core.
-    pub processor: f64,
-    /// Bytes of memory the process may have.
+    /// Whether a loss of the disk counts as one of the tolerated losses. Only then do the controller and the
+    /// ledger store data on it.
+    pub disk_counted: bool,
+    /// Number of simultaneous losses that are tolerated.
+    pub tolerated_losses: usize,
+    /// Bandwidth of the network link in bits per second, if known.
+    pub link_bits_per_second: Option<u64>,
+    /// Number of processor cores available to the process; may be a fraction.
+    pub cores: f64,
+    /// Memory limit of the process in bytes.
     pub memory: usize,
-    /// How long a key stays with its first try.
-    pub window: Span,
-    /// From the word to stop until the process is killed.
+    /// How long an operation key stays bound to its first attempt.
+    pub key_window: Span,
+    /// Time between the signal to stop and the kill of the process.
     pub grace: Span,
-    /// Extra tries: the part of all requests, and the allowance over it.
+    /// Retry budget: retries as a share of all requests, and an allowance in addition.
     pub retry: (f64, f64),
-    /// How often origins beat.
-    pub beat: Span,
-    /// Where callers come, where readiness is asked, and where control is.
+    /// Interval between heartbeats of an origin.
+    pub heartbeat_interval: Span,
+    /// Listen address for callers' requests.
     pub front: Option<SocketAddr>,
+    /// Listen address for readiness probes.
     pub ready: Option<SocketAddr>,
+    /// Listen address of the control API.
     pub control: Option<SocketAddr>,
-    /// Where the process tells its figures, if anywhere.
+    /// Listen address for metrics.
     pub metrics: Option<SocketAddr>,
 }
 
-/// The parts, by the port they have after the first.
+/// The parts of a machine. The discriminant is the offset of the part's port from the first port.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Seat {
+pub(crate) enum MachinePart {
     Controller,
     Edge,
     Ledger,
 }
 
-/// What handing an answer to another node takes of a processor and of a link, roughly.
+/// Approximate processor time for passing an answer to another node.
 const ANSWER_PROCESSOR_SECONDS: f64 = 0.0004;
+/// Approximate size on the link of an answer that is passed to another node.
 const ANSWER_BITS: f64 = 24_000.0 * 8.0;
 
-impl Seat {
-    /// As logs and figures call it.
+impl MachinePart {
+    /// Name of the part in logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
-            Seat::Controller => "controller",
-            Seat::Edge => "edge",
-            Seat::Ledger => "ledger",
+            MachinePart::Controller => "controller",
+            MachinePart::Edge => "edge",
+            MachinePart::Ledger => "ledger",
         }
     }
 }
 
 impl MachineConfig {
-    pub(crate) fn addr(&self, s: Seat) -> Addr {
-        Addr(SocketAddr::new(self.ip, self.port + s as u16))
+    /// Listen address of a part of this machine.
+    pub(crate) fn addr(&self, part: MachinePart) -> Addr {
+        Addr(SocketAddr::new(self.ip, self.port + part as u16))
     }
 
-    /// Invariant: one number for each part of each machine.
-    pub(crate) fn id(&self, s: Seat) -> NodeId {
+    /// Node id of a part; unique for each part of each machine.
+    pub(crate) fn id(&self, part: MachinePart) -> NodeId {
         let ip = match self.ip {
             IpAddr::V4(a) => u32::from(a) as u64,
             IpAddr::V6(a) => primitives::hash(&a) >> 12,
         };
-        NodeId(ip << 2 | s as u64)
+        NodeId(ip << 2 | part as u64)
     }
 
-    /// Answers a second that it can hand to other nodes: as its link or its processor allows.
+    /// Number of answers per second that this machine can pass to other nodes, limited by its link or its
+    /// processor, at least 1.
     pub fn capacity(&self) -> u32 {
-        let by_processor = self.processor / ANSWER_PROCESSOR_SECONDS;
-        let by_link = self.link.map_or(by_processor, |bits| bits as f64 / ANSWER_BITS);
+        let by_processor = self.cores / ANSWER_PROCESSOR_SECONDS;
+        let by_link = self.link_bits_per_second.map_or(by_processor, |bits| bits as f64 / ANSWER_BITS);
         by_processor.min(by_link).max(1.0) as u32
     }
 
-    /// The seeds' controllers.
-    pub(crate) fn seats(&self) -> Vec<Addr> {
-        self.seeds.iter().map(|ip| Addr(SocketAddr::new(*ip, self.port + Seat::Controller as u16))).collect()
+    /// Addresses of the controllers of the seed machines.
+    pub(crate) fn seed_controllers(&self) -> Vec<Addr> {
+        self.seeds
+            .iter()
+            .map(|ip| Addr(SocketAddr::new(*ip, self.port + MachinePart::Controller as u16)))
+            .collect()
     }
 
-    pub(crate) fn keeps(&self) -> Option<&(PathBuf, u64)> {
-        self.disk.as_ref().filter(|_| self.counted)
+    /// Data directory and megabytes for the durable parts; `None` if nothing is stored on disk.
+    pub(crate) fn durable_storage(&self) -> Option<&(PathBuf, u64)> {
+        self.disk.as_ref().filter(|_| self.disk_counted)
     }
 }
--- a/crates/machine/src/memory.rs
+++ b/crates/machine/src/memory.rs
@@ -1,43 +1,44 @@
-//! How the memory of a process is shared out among its parts.
+//! How the memory limit of the process is divided among its parts.
 use crate::MachineConfig;
 
-/// Of what is left beside the parts that keep data on disk: copies may take a third, answers on
-/// their way a quarter, and bodies of callers' requests three tenths. The rest is for threads and what
-/// allocation loses.
-const COPIES: usize = 3;
-const ANSWERS: usize = 4;
-const BODIES: (usize, usize) = (3, 10);
-/// What a ledger takes in memory beside its grants' size on disk: the grants themselves, their
-/// indexes, and the buffer in which they are written in short.
-const LEDGER_TIMES: usize = 3;
-/// The same for a controller's state: the state, the one its era began with, commands, update
-/// streams, and an encoded form of each while it is written or sent.
-const CONTROLLER_TIMES: usize = 6;
+/// Shares of the memory that remains after the parts that store data on disk: a third for cached copies, a
+/// quarter for answers in transit from origins, and three tenths for the bodies of callers' requests. The rest
+/// is for threads and for fragmentation in the allocator.
+const CACHE_DIVISOR: usize = 3;
+const ANSWERS_DIVISOR: usize = 4;
+/// Numerator and denominator.
+const BODIES_SHARE: (usize, usize) = (3, 10);
+/// Memory of a ledger as a multiple of its grants' size on disk: the grants themselves, their indexes, and the
+/// buffer for writing them in compact form.
+const LEDGER_MEMORY_FACTOR: usize = 3;
+/// Memory of a controller as a multiple of its state's size on disk: the state, the state at the start of its
+/// era, commands, update streams, and an encoded form of each while it is written or sent.
+const CONTROLLER_MEMORY_FACTOR: usize = 6;
 
 impl MachineConfig {
-    /// Bytes that controller and ledger may come to need, as far as their disk bounds them;
-    /// at most half of the memory.
+    /// Bytes that controller and ledger may need given the size of their disk; at most half of the memory,
+    /// and 0 if nothing is stored on disk.
     pub fn durable_parts_memory(&self) -> usize {
-        if self.keeps().is_none() {
+        if self.durable_storage().is_none() {
             return 0;
         }
-        let ledger = self.ledger_state_limit() * LEDGER_TIMES;
-        let controller = self.controller_room() / 2 * CONTROLLER_TIMES;
+        let ledger = self.ledger_state_limit() * LEDGER_MEMORY_FACTOR;
+        let controller = self.controller_state_limit() / 2 * CONTROLLER_MEMORY_FACTOR;
         (ledger + controller).min(self.memory / 2)
     }
 
-    /// Bytes of copies that the edge may keep.
+    /// Bytes of copies that the edge may cache.
     pub fn cache_memory(&self) -> usize {
-        (self.memory - self.durable_parts_memory()) / COPIES
+        (self.memory - self.durable_parts_memory()) / CACHE_DIVISOR
     }
 
-    /// Bytes of answers that may be on their way from origins at a time.
+    /// Bytes of answers that may be in transit from origins at a time.
     pub fn answers_memory(&self) -> usize {
-        (self.memory - self.durable_parts_memory()) / ANSWERS
+        (self.memory - self.durable_parts_memory()) / ANSWERS_DIVISOR
     }
 
-    /// Bytes of bodies of callers' requests that may be in hand at a time.
+    /// Bytes of callers' request bodies that may be in flight at a time.
     pub fn bodies_memory(&self) -> usize {
-        (self.memory - self.durable_parts_memory()) / BODIES.1 * BODIES.0
+        (self.memory - self.durable_parts_memory()) / BODIES_SHARE.1 * BODIES_SHARE.0
     }
 }
--- a/crates/machine/src/memory_watch.rs
+++ b/crates/machine/src/memory_watch.rs
@@ -1,5 +1,5 @@
-//! Hands freed memory back, and says in the log what holds the memory of a process that comes
-//! near its limit all the same.
+//! Returns freed memory to the operating system, and logs which parts hold memory when the process still comes
+//! near its limit.
 use control_state::{Ask, NodeReply};
 use runtime::process::{release_freed_memory, resident_bytes};
 use runtime::shell::Handle;
@@ -7,50 +7,54 @@
 use std::thread;
 use std::time::Duration;
 
-const LOOK: Duration = Duration::from_millis(250);
-const ANSWER: Duration = Duration::from_millis(500);
-/// Freed memory is handed back from this share of the limit on, in hundredths.
-const RELEASE: usize = 45;
-/// A line is written from this share of the limit on, in hundredths, and again for each
-/// further step.
-const FIRST: usize = 60;
-const STEP: usize = 5;
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Limit for a part's answer about its counters.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Percentage of the limit from which on freed memory is returned.
+const RELEASE_PERCENT: usize = 45;
+/// Percentage of the limit from which on the use of memory is logged.
+const FIRST_LOG_PERCENT: usize = 60;
+/// Further percentage points of growth before it is logged again.
+const LOG_STEP_PERCENT: usize = 5;
 
-/// Watches on a thread of its own; `parts` are asked for their figures, by name.
+/// Starts a thread that watches the memory of the process. `limit` is in bytes; `parts` are the named parts
+/// whose counters are logged.
 pub(crate) fn watch(limit: usize, parts: Vec<(&'static str, Handle)>, log: Logger) {
     thread::spawn(move || {
-        let mut next = FIRST;
+        let mut next_log_percent = FIRST_LOG_PERCENT;
         loop {
-            thread::sleep(LOOK);
-            if share_used(limit) >= RELEASE {
+            thread::sleep(CHECK_INTERVAL);
+            if percent_used(limit) >= RELEASE_PERCENT {
                 release_freed_memory();
             }
-            let share = share_used(limit);
-            if share >= next {
-                next = share + STEP;
+            let percent = percent_used(limit);
+            if percent >= next_log_percent {
+                next_log_percent = percent + LOG_STEP_PERCENT;
                 report(limit, &parts, &log);
             }
         }
     });
 }
 
-fn share_used(limit: usize) -> usize {
+/// Resident memory in percent of the limit.
+fn percent_used(limit: usize) -> usize {
     resident_bytes().unwrap_or(0) * 100 / limit.max(1)
 }
 
 fn report(limit: usize, parts: &[(&'static str, Handle)], log: &Logger) {
     let (used_kib, limit_kib) = (resident_bytes().unwrap_or(0) >> 10, limit >> 10);
-    let all: Vec<String> = parts.iter().map(|(name, part)| format!("{name}: {}", figures(part))).collect();
-    slog::error!(log, "memory runs short"; "used_kib" => used_kib, "limit_kib" => limit_kib,
-        "held" => all.join("; "));
+    let held: Vec<String> = parts.iter().map(|(name, part)| format!("{name}: {}", counters(part))).collect();
+    slog::error!(log, "memory use is near the limit"; "used_kib" => used_kib, "limit_kib" => limit_kib,
+        "held" => held.join("; "));
 }
 
-fn figures(part: &Handle) -> String {
-    match part.ask(Ask::Ready, ANSWER) {
+/// The part's requests in flight and its counters that are not zero, as text for the log.
+fn counters(part: &Handle) -> String {
+    match part.ask(Ask::Ready, ANSWER_TIMEOUT) {
         Some(NodeReply::Health(health)) => {
-            let some = health.counts.iter().filter(|(_, n)| *n > 0);
-            let told: Vec<String> = some.map(|(name, n)| format!("{name}={n}")).collect();
-            format!("in hand={} {}", health.in_hand, told.join(" "))
+            let nonzero = health.counts.iter().filter(|(_, n)| *n > 0);
+            let counters: Vec<String> = nonzero.map(|(name, n)| format!("{name}={n}")).collect();
+            format!("in_flight={} {}", health.in_hand, counters.join(" "))
         }
         _ => "no answer".into(),
     }
--- a/crates/machine/src/metrics.rs
+++ b/crates/machine/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The listener at which a process tells its figures.
+//! The HTTP listener for the metrics of the process.
 use prometheus_client::registry::Registry;
 use runtime::front::Reply;
 use runtime::http_server::{self, Limits};
@@ -9,7 +9,7 @@
 
 const PATH: &str = "/metrics";
 
-/// Serves all that is in the registry, and the counters of the parts, by name.
+/// Serves the metrics of the registry and the counters of the named parts.
 pub(crate) fn serve(
     listener: TcpListener,
     limits: fn() -> Limits,
@@ -17,8 +17,8 @@
     parts: Vec<(&'static str, Handle)>,
 ) {
     metrics::register_parts(&mut registry, parts);
-    http_server::open(listener, Arc::new(limits), move |visit| match visit.target.as_str() {
+    http_server::open(listener, Arc::new(limits), move |request| match request.target.as_str() {
         PATH => metrics::page(&registry),
-        _ => Reply::problem(404, "not found", "only the figures are told here"),
+        _ => Reply::problem(404, "not found", "only the metrics path is served here"),
     });
 }
--- a/crates/machine/src/parts.rs
+++ b/crates/machine/src/parts.rs
@@ -1,39 +1,42 @@
-//! The parts of one machine, with figures that follow from what it was told.
-use crate::{MachineConfig, Seat};
+//! Builds the parts of one machine, with parameters derived from its configuration.
+use crate::{MachineConfig, MachinePart};
 use control_state::*;
 use controller::{ControllerEnv, Open};
 use edge::{EdgeEnv, EdgePolicy};
 use ledger::LedgerEnv;
 use primitives::{Birth, Mono, Span};
 
-/// Bytes; what takes longer on a small link than the way between regions.
-const FAR_BODY: usize = 32 << 10;
-/// How long controllers wait for an edge that does not answer before they count it as
-/// out of touch. Short: an operator's order is to be answered within seconds
-/// though a machine is frozen, and edges serve on without.
+/// Largest body, in bytes, fetched from another region: a larger one takes longer to transfer on a small link
+/// than the round trip between regions.
+const CROSS_REGION_BODY_LIMIT: usize = 32 << 10;
+/// How long controllers wait for an edge that does not answer before they treat it as unreachable. Short,
+/// because an operator's call must be answered within seconds even while a machine is frozen, and edges keep
+/// serving without a lease.
 pub(crate) const LEASE: Span = Span::ms(600);
-/// How long a granted try may take to leave. Short: a ledger that lost its disk asks
-/// the others only after it.
-const LEAVE: Span = Span::secs(2);
-/// What a granted try may take over its key's window: to leave, and to run.
-const LATE: Span = Span::secs(12);
-/// Parts of the disk, in sixty-fourths: a file of each ring; each has four. A start reads all of
-/// both rings before it serves: larger files make a return from a loss of power last longer.
-const CONTROLLER_FILE: u64 = 3;
-/// As it was in rings of earlier versions, which are used on as they are.
-const EARLIER_CONTROLLER_FILE: u64 = 2;
-const LEDGER_FILE: u64 = 6;
+/// How long after its grant an attempt may be sent to an origin. Short, because a ledger that lost its disk must
+/// wait this long before it asks the other ledgers.
+const SEND_TIMEOUT: Span = Span::secs(2);
+/// Time beyond its key's window that a granted attempt may need to be sent and to run.
+const KEY_WINDOW_MARGIN: Span = Span::secs(12);
+/// Size of one file of the controller's log, in sixty-fourths of the disk; each log has four files. A process
+/// reads both logs completely before it serves, so larger files prolong the restart after a power failure.
+const CONTROLLER_FILE_SHARE: u64 = 3;
+/// The share in logs of earlier versions, which are kept at their size.
+const EARLIER_CONTROLLER_FILE_SHARE: u64 = 2;
+/// Size of one file of the ledger's log, in sixty-fourths of the disk.
+const LEDGER_FILE_SHARE: u64 = 6;
 
 impl MachineConfig {
-    fn follow(&self, s: Seat, role: Role, birth: u64, life: u64) -> FollowerEnv {
-        let addr = self.addr(s);
+    /// The settings that edge and ledger share as followers of the controllers.
+    fn follower_env(&self, part: MachinePart, role: Role, birth: u64, life: u64) -> FollowerEnv {
+        let addr = self.addr(part);
         FollowerEnv {
-            id: self.id(s),
+            id: self.id(part),
             role,
             addr,
             http: addr,
             zone: self.zone.clone(),
-            seeds: self.seats(),
+            seeds: self.seed_controllers(),
             birth: Birth(birth),
             life,
             lease: LEASE,
@@ -42,103 +45,114 @@
         }
     }
 
+    /// The edge; `life` is its incarnation number.
     pub(crate) fn edge(&self, life: u64) -> edge::Edge {
         let (ratio, allowance) = self.retry;
         edge::Edge::new(EdgeEnv {
-            follow: self.follow(Seat::Edge, Role::Edge, life, life),
-            fresh: self.beat.times(3),
+            follow: self.follower_env(MachinePart::Edge, Role::Edge, life, life),
+            fresh: self.heartbeat_interval.times(3),
             patience: Span::secs(30),
             copies: self.cache_memory(),
             hands: (1024, 2048),
             grace: Span(self.grace.0 * 2 / 5),
             policy: EdgePolicy {
-                // Well below what is allowed, for edges cannot see one another's tries.
+                // Well below the allowed ratio, because edges do not see each other's retries.
                 retry_credit_per_request: ratio * 0.6,
                 saved: allowance * 0.5,
                 near: true,
                 load_balanced: true,
-                // In one zone; the region's home is asked in place of one that takes longer.
+                // For a home edge in the same zone; if it takes longer, the region's home edge is asked instead.
                 home: Span::ms(100),
-                // Longer than a turn of a small processor that is busy: an origin pays for it.
+                // Longer than a scheduling delay on a small busy processor: every false time-out costs a request
+                // to an origin.
                 wide_home_timeout: Span::ms(400),
                 back: Some(Span::ms(120)),
                 retry_after_no_lease: Span::secs(1),
-                cross_region_body_limit: FAR_BODY,
+                cross_region_body_limit: CROSS_REGION_BODY_LIMIT,
             },
-            losses: self.losses,
+            losses: self.tolerated_losses,
             disk_cache: false,
-            leave: LEAVE,
-            controller: Some(self.addr(Seat::Controller)),
+            leave: SEND_TIMEOUT,
+            controller: Some(self.addr(MachinePart::Controller)),
         })
     }
 
+    /// The controller, restored from the stored records; its first outputs are appended to `out`.
     pub(crate) fn controller(
         &self,
-        kept: Vec<controller::Kept>,
+        records: Vec<controller::Kept>,
         now: Mono,
         out: &mut Vec<Out>,
     ) -> controller::Controller {
-        let file = self.controller_file();
+        let file = self.controller_file_size();
         let env = ControllerEnv {
-            addr: self.addr(Seat::Controller),
-            http: self.addr(Seat::Controller),
+            addr: self.addr(MachinePart::Controller),
+            http: self.addr(MachinePart::Controller),
             zone: self.zone.clone(),
-            seeds: self.seats(),
+            seeds: self.seed_controllers(),
             found: false,
-            open: Some(Open { initial: self.initial, keeps: self.keeps().is_some(), losses: self.losses }),
+            open: Some(Open {
+                initial: self.initial,
+                keeps: self.durable_storage().is_some(),
+                losses: self.tolerated_losses,
+            }),
             lease: LEASE,
             cut_at: 256,
-            window: self.window + LATE,
-            vanish: self.beat.times(4),
+            window: self.key_window + KEY_WINDOW_MARGIN,
+            vanish: self.heartbeat_interval.times(4),
             compact_after_bytes: (file * 3 / 4) as usize,
-            room: self.controller_room(),
+            room: self.controller_state_limit(),
             contact_by_echo: true,
             pace: caesar::ReplicaConfig::default(),
         };
-        controller::Controller::start(env, kept, runtime::life(), now, out)
+        controller::Controller::start(env, records, runtime::life(), now, out)
     }
 
-    pub(crate) fn ledger(&self, kept: Vec<ledger::Kept>, now: Mono, out: &mut Vec<Out>) -> ledger::Ledger {
+    /// The ledger, restored from the stored records; its first outputs are appended to `out`.
+    pub(crate) fn ledger(&self, records: Vec<ledger::Kept>, now: Mono, out: &mut Vec<Out>) -> ledger::Ledger {
         let env = LedgerEnv {
-            follow: self.follow(Seat::Ledger, Role::Ledger, 0, runtime::life()),
-            window: self.window + LATE,
+            follow: self.follower_env(MachinePart::Ledger, Role::Ledger, 0, runtime::life()),
+            window: self.key_window + KEY_WINDOW_MARGIN,
             compact_after_bytes: self.ledger_state_limit(),
             room: 0,
             most: self.ledger_state_limit(),
             boot: runtime::boot(),
-            losses: self.losses,
-            leave: LEAVE,
+            losses: self.tolerated_losses,
+            leave: SEND_TIMEOUT,
             minimal_outcome_copies: true,
         };
-        ledger::Ledger::start(env, kept, runtime::life(), now, out)
+        ledger::Ledger::start(env, records, runtime::life(), now, out)
     }
 
-    fn file(&self, of: u64) -> u64 {
-        self.disk.as_ref().map_or(0, |(_, mb)| (mb << 20) / 64 * of)
+    /// Bytes of a log file that takes the given number of sixty-fourths of the disk.
+    fn file_size(&self, share: u64) -> u64 {
+        self.disk.as_ref().map_or(0, |(_, mb)| (mb << 20) / 64 * share)
     }
 
-    /// The size of a file of the controller's ring: one made by an earlier version keeps its own.
-    pub(crate) fn controller_file(&self) -> u64 {
-        let earlier = self.file(EARLIER_CONTROLLER_FILE);
-        let folder = self.disk.as_ref().map(|(at, _)| at.join("controller"));
-        let is = folder.and_then(|f| runtime::disk_log::existing_size(&f));
-        if is == Some(earlier) {
+    /// Size in bytes of a file of the controller's log. A log made by an earlier version keeps its size.
+    pub(crate) fn controller_file_size(&self) -> u64 {
+        let earlier = self.file_size(EARLIER_CONTROLLER_FILE_SHARE);
+        let dir = self.disk.as_ref().map(|(dir, _)| dir.join("controller"));
+        let existing = dir.and_then(|d| runtime::disk_log::existing_size(&d));
+        if existing == Some(earlier) {
             earlier
         } else {
-            self.file(CONTROLLER_FILE)
+            self.file_size(CONTROLLER_FILE_SHARE)
         }
     }
-    /// Three eighths of four files.
-    pub(crate) fn controller_room(&self) -> usize {
-        (self.controller_file() * 3 / 2) as usize
+
+    /// Bytes of state that the controller may hold: three eighths of the four files.
+    pub(crate) fn controller_state_limit(&self) -> usize {
+        (self.controller_file_size() * 3 / 2) as usize
     }
 
     /// Bytes of grants and outcomes that the ledger may hold.
     pub(crate) fn ledger_state_limit(&self) -> usize {
-        self.ledger_file() as usize * 3 / 4
+        self.ledger_file_size() as usize * 3 / 4
     }
 
-    pub(crate) fn ledger_file(&self) -> u64 {
-        self.file(LEDGER_FILE)
+    /// Size in bytes of a file of the ledger's log.
+    pub(crate) fn ledger_file_size(&self) -> u64 {
+        self.file_size(LEDGER_FILE_SHARE)
     }
 }
