--- a/crates/runtime/src/http_server.rs
+++ b/crates/runtime/src/http_server.rs
@@ -157,11 +157,11 @@
     /// Registers a connection and starts its thread. False if the connection limit is reached
     /// or no thread can be started.
     fn admit(self: &Arc<HttpServer>, connection: &Arc<ClientConnection>, service: &Arc<Service>) -> bool {
-        let max_connections = (self.limits)().connections;
+        let connection_limit = (self.limits)().connections;
         let id = self.accepted.fetch_add(1, SeqCst);
         {
             let mut connections = self.client_connections.lock().expect("no thread panics with it");
-            if connections.len() >= max_connections {
+            if connections.len() >= connection_limit {
                 return false;
             }
             connections.insert(id, connection.clone());
--- a/crates/runtime/src/request_parser.rs
+++ b/crates/runtime/src/request_parser.rs
@@ -41,7 +41,7 @@
 }
 
 /// Maximum bytes of all header fields.
-const MAX_HEADER_BYTES: usize = 16 << 10;
+const HEADER_BYTES_LIMIT: usize = 16 << 10;
 /// Maximum number of header fields.
 const MAX_FIELDS: usize = 100;
 /// Maximum bytes of the path with its query.
@@ -73,7 +73,7 @@
         }
         h.push(n, v);
     }
-    if h.bytes() > MAX_HEADER_BYTES || req.headers().len() > MAX_FIELDS {
+    if h.bytes() > HEADER_BYTES_LIMIT || req.headers().len() > MAX_FIELDS {
         return Err(rejection(431, "too large", "the header may have at most 16 KiB in 100 fields", true));
     }
     Ok(h)
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -40,9 +40,9 @@
     /// Duration of an edge's lease: how long it serves without a renewal, and so how long a
     /// change may wait for a lost edge.
     pub lease: Span,
-    /// How long an origin counts as alive after its last heartbeat.
+    /// How long an origin counts as alive after the latest of its heartbeats.
     pub fresh: Span,
-    /// Time without a heartbeat after which an origin is removed.
+    /// Time without heartbeats after which an origin is removed.
     pub vanish: Span,
     /// Timeout for an origin's response.
     pub patience: Span,
