--- a/crates/machine/src/run.rs
+++ b/crates/machine/src/run.rs
@@ -19,7 +19,6 @@
 use slog::{info, Logger};
 use snafu::{ResultExt, Snafu};
 use std::net::{SocketAddr, TcpListener};
-use std::path::{Path, PathBuf};
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::{Arc, Mutex};
 use std::thread;
@@ -44,7 +43,6 @@
 }
 
 type Result<T> = std::result::Result<T, StartError>;
-type LimitsSource = dyn Fn() -> Limits + Send + Sync;
 type RequestHandler = dyn Fn(&Handle, HttpRequest) -> Reply + Send + Sync;
 
 /// The deployment's protocol: converts incoming HTTP requests into requests to the edge, and the edge's answers
@@ -71,7 +69,11 @@
 }
 
 /// Opens a log of four files of `size` bytes each, and decodes its records.
-fn open_log<K>(dir: PathBuf, size: u64, decode: fn(&[u8]) -> Option<K>) -> Result<(DiskLog, Vec<K>)> {
+fn open_log<K>(
+    dir: std::path::PathBuf,
+    size: u64,
+    decode: fn(&[u8]) -> Option<K>,
+) -> Result<(DiskLog, Vec<K>)> {
     let (log, records) = DiskLog::open(&dir, 4, size)?;
     let decoded = shell::unpack(records).and_then(|e| e.iter().map(|b| decode(b)).collect());
     decoded.map(|records| (log, records)).ok_or(StartError::Undecodable)
@@ -137,7 +139,7 @@
     Ok(Start { part, first, ring, kind: MachinePart::Controller, rounds: None })
 }
 
-fn ledger(config: &MachineConfig, dir: &Path) -> Result<Start> {
+fn ledger(config: &MachineConfig, dir: &std::path::Path) -> Result<Start> {
     let (ring, records) = open_log(dir.join("ledger"), config.ledger_file_size(), ledger::Kept::decode)?;
     let mut first = vec![];
     let part = Box::new(config.ledger(records, runtime::now(), &mut first));
@@ -165,9 +167,8 @@
     };
     let room = MemoryBudget::new(config.answers_memory());
     let bodies = MemoryBudget::new(config.bodies_memory());
-    let origin_protocol = handlers.origin_protocol.clone();
-    let executor = ExecutorConfig { answer: 64 << 20, room, origin_protocol };
-    let (tx, start) = runtime::executor::rounds(executor);
+    let exec = ExecutorConfig { answer: 64 << 20, room, origin_protocol: handlers.origin_protocol.clone() };
+    let (tx, start) = runtime::executor::rounds(exec);
     let listen = |a: Option<SocketAddr>| a.map(bind).transpose();
     let (front, ready, control) = (listen(config.front)?, listen(config.ready)?, listen(config.control)?);
     let metrics_listener = listen(config.metrics)?;
@@ -177,11 +178,12 @@
     let (grace, memory) = (config.grace, config.memory);
     edge.run(&config, &links, &log.clone(), move |h| {
         start(h.clone());
-        let serve =
-            |listener: Option<TcpListener>, handler: &Arc<RequestHandler>, limits: Arc<LimitsSource>| {
-                let (h, handler) = (h.clone(), handler.clone());
-                listener.map(|l| http_server::open(l, limits, move |http| handler(&h, http)))
-            };
+        let serve = |listener: Option<TcpListener>,
+                     handler: &Arc<RequestHandler>,
+                     limits: Arc<dyn Fn() -> Limits + Send + Sync>| {
+            let (h, handler) = (h.clone(), handler.clone());
+            listener.map(|l| http_server::open(l, limits, move |http| handler(&h, http)))
+        };
         let slow_calls = SlowCalls::new(log.clone());
         let watch = Arc::new(move |exchange| slow_calls.log_if_slow(runtime::now(), &exchange));
         let (limits_handle, limits) = (h.clone(), handlers.limits.clone());
@@ -194,9 +196,8 @@
         let (control_handle, answer) = (h.clone(), handlers.control.clone());
         let serve_control = move |http| answer(&control_handle, http);
         let control_options = ServerOptions { watch: Some(watch), ..ServerOptions::default() };
-        let open_control =
-            |l| http_server::open_with(l, Arc::new(internal_limits), serve_control, control_options);
-        let _control = control.map(open_control);
+        let _control = control
+            .map(|l| http_server::open_with(l, Arc::new(internal_limits), serve_control, control_options));
         thread::spawn(move || {
             let Ok(controller) = controller.recv() else { return h.stop() };
             let ledger = ledger.and_then(|l| l.recv().ok());
@@ -217,7 +218,9 @@
 }
 
 /// Caches the limits for one second, because they are requested for every request.
-fn cache_for_a_second(f: impl Fn() -> Limits + Send + Sync + 'static) -> Arc<LimitsSource> {
+fn cache_for_a_second(
+    f: impl Fn() -> Limits + Send + Sync + 'static,
+) -> Arc<dyn Fn() -> Limits + Send + Sync> {
     let last: Mutex<Option<(Mono, Limits)>> = Mutex::default();
     Arc::new(move || {
         let mut cached = last.lock().expect("no thread panics with it");
