--- a/crates/simulator/src/plan.rs
+++ b/crates/simulator/src/plan.rs
@@ -1,52 +1,58 @@
-//! What a world is like.
+//! The settings of a simulation run.
 use primitives::{Addr, Span};
 use std::collections::BTreeMap;
 
-/// The size of a world, its links, clocks and disks, and what its nodes are told.
+/// The size of the fleet, its links, clocks and disks, and the settings of its nodes.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub edges: usize,
     pub ledgers: usize,
-    /// Lost disks of ledgers borne at once.
+    /// Number of ledger disks that may be lost at the same time without losing data.
     pub losses: usize,
-    /// Ledgers keep copies.
+    /// Whether ledgers store cached copies on their disks.
     pub disk_cache: bool,
+    /// Probability that a message is lost.
     pub drop: f64,
-    /// Bytes a second that a process can send, if that is limited; and those that differ.
+    /// Bytes per second that each process can send; `None` is unlimited.
     pub link: Option<u64>,
+    /// Processes whose rate differs from `link`.
     pub links: BTreeMap<Addr, u64>,
-    /// What a controller's processor takes over each message, if that is limited.
+    /// Processing time of each message at a controller; `None` takes no time.
     pub work: Option<Span>,
-    /// Bytes of a controller's disk: what counts and a new base must fit it together.
+    /// Bytes of a controller's disk; the records in use and a new snapshot must fit together.
     pub controller_disk: usize,
+    /// Probability that a message is delivered a second time, later.
     pub dup: f64,
-    /// One-way, within a zone, between zones, between regions; in microseconds.
-    pub away: [u64; 3],
+    /// One-way delay in microseconds: within a zone, between zones, between regions.
+    pub one_way_us: [u64; 3],
+    /// Shortest and longest duration of a disk sync, in microseconds.
     pub sync: (u64, u64),
     pub zones: [&'static str; 4],
     pub lease: Span,
     pub cut_at: usize,
-    /// Bytes that a controller's state and log may take on its disk.
+    /// Disk budget of a controller's state and log, in bytes.
     pub controller_room: usize,
     pub window: Span,
-    /// How far monotonic clocks run apart, in parts of a thousand.
+    /// Largest deviation of a monotonic clock from virtual time, in parts per thousand.
     pub drift: u64,
-    /// Requests an edge holds, of one service and in all.
-    pub hands: (usize, usize),
-    /// How long a leaving edge still takes requests.
+    /// Most requests in flight at an edge: of one service, and in total.
+    pub max_requests: (usize, usize),
+    /// How long a draining edge still accepts requests.
     pub grace: Span,
     pub policy: edge::EdgePolicy,
-    /// Bytes of copies that an edge keeps.
+    /// Cache size of an edge in bytes.
     pub copies: usize,
-    /// Edges serve on while out of touch.
+    /// Edges go on serving while they have no contact with a controller.
     pub serve_without_lease: bool,
-    /// Controllers are not told of one another: the first seed founds, others join.
+    /// Set for an open deployment: no fixed list of controllers; the first seed founds the
+    /// fleet, and the others join.
     pub open: Option<controller::Open>,
-    /// Controllers prove their contact by echoes; see `controller`.
+    /// Controllers prove by echoes that they are in contact; see `controller`.
     pub contact_by_echo: bool,
 }
 
 impl Plan {
+    /// Four zones of one region.
     pub fn trinacria() -> Plan {
         Plan {
             edges: 5,
@@ -59,7 +65,7 @@
             work: None,
             controller_disk: 8 << 20,
             dup: 0.0,
-            away: [100, 750, 750],
+            one_way_us: [100, 750, 750],
             sync: (300, 2500),
             zones: ["sicilia/a", "sicilia/b", "sicilia/c", "sicilia/d"],
             lease: Span::secs(10),
@@ -67,7 +73,7 @@
             controller_room: 3 << 20,
             window: Span::secs(90),
             drift: 5,
-            hands: (256, 1024),
+            max_requests: (256, 1024),
             grace: Span::secs(1),
             policy: edge::EdgePolicy::default(),
             copies: 1 << 20,
@@ -76,9 +82,10 @@
             contact_by_echo: true,
         }
     }
+    /// Two regions of two zones each, with a slow link between them.
     pub fn bersatu() -> Plan {
         Plan {
-            away: [100, 750, 17_500],
+            one_way_us: [100, 750, 17_500],
             sync: (300, 8000),
             zones: ["barat/a", "barat/b", "timur/c", "timur/d"],
             ..Plan::trinacria()
