--- a/crates/lanewing/src/args.rs
+++ b/crates/lanewing/src/args.rs
@@ -1,4 +1,4 @@
-//! Arguments that several plug-ins share.
+//! Command-line arguments shared by several plug-ins.
 use clap::{value_parser, Arg, Command};
 use primitives::Addr;
 use std::path::PathBuf;
@@ -13,12 +13,12 @@
         .help("The deployment's settings file")
 }
 
-/// An option with an address.
+/// `--NAME IP:PORT`, an optional address.
 pub fn addr(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).value_name("IP:PORT").value_parser(value_parser!(Addr)).help(help)
 }
 
-/// An operator's command: one that is sent to controllers.
+/// An operator's command, which calls the controllers given with `--at` or `LANEWING_AT`.
 pub fn operator_command(name: &'static str, about: &'static str) -> Command {
     let at = Arg::new("at")
         .long("at")
@@ -36,22 +36,22 @@
     Arg::new(name).required(true).value_name(name.to_uppercase()).help(help)
 }
 
-/// An option with a value.
+/// `--NAME V`, an optional text.
 pub fn option(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).value_name("V").help(help)
 }
 
-/// `--json`, to print an answer for other programs.
+/// `--json`, to print the answer as JSON instead of in columns.
 pub fn json() -> Arg {
     flag("json", "Print the answer as JSON")
 }
 
-/// An option without a value.
+/// `--NAME`, without a value; false unless given.
 pub fn flag(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).action(clap::ArgAction::SetTrue).help(help)
 }
 
-/// `--id ID`, the id of a change.
+/// `--id V`, the idempotency id of a change.
 pub fn id() -> Arg {
-    option("id", "The change's id: the same id is the same change; drawn at random if left out")
+    option("id", "Id of the change: a retry with the same id takes effect only once; random by default")
 }
--- a/crates/lanewing/src/http_api/caller.rs
+++ b/crates/lanewing/src/http_api/caller.rs
@@ -1,5 +1,5 @@
-//! Callers' requests at an edge. The edge decides; this passes the request to it and its
-//! decision back.
+//! Callers' requests at an edge: translates each into a request to the edge's state machine and
+//! the edge's decision into an HTTP response.
 use control_state::*;
 use primitives::{Mono, Span};
 use runtime::conditional_requests::fit;
@@ -9,14 +9,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longer than an edge keeps any request.
+/// Longer than an edge holds any request, so that the edge always decides first.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// Fields that are written anew for the origin.
+/// Header fields that this edge replaces when it forwards a request.
 const FORWARDING_FIELDS: [&str; 3] = ["x-forwarded-for", "x-forwarded-host", "via"];
 const VIA: &str = "1.1 lanewing";
 
-/// Answers a caller's request.
+/// Answers a caller's request. The first segment of the path names the route.
 pub fn answer(handle: &Handle, call: Call) -> Reply {
     let (lane, path) = call.path.split_once('/').unwrap_or((&call.path, ""));
     let request = CallerRequest {
@@ -28,11 +28,11 @@
         body: Arc::new(call.body),
         ..CallerRequest::default()
     };
-    // The memory for the body is released once the request is over.
-    let _memory = call.hold;
-    // Looked at first: what was handed over before the node stopped may have left.
+    // Held until the request ends: dropping it releases the memory budget of the body.
+    let _memory_hold = call.hold;
+    // Checked first: after the node has stopped it no longer answers requests handed to it.
     if handle.stopping() {
-        return Reply::problem(503, "denied", "this node is leaving").after(1);
+        return Reply::problem(503, "denied", "this node is shutting down").after(1);
     }
     match handle.ask(Ask::Begin(request), REQUEST_TIMEOUT) {
         Some(NodeReply::Step(Step::Serve(whole, source, until))) => {
@@ -40,21 +40,23 @@
         }
         Some(NodeReply::Step(Step::Deny(denied, wait))) => denial(denied, wait),
         Some(NodeReply::Step(Step::OutcomeUnknown(wait))) => {
-            let why = "sent to an origin, whose answer was lost or is not known yet";
-            Reply::problem(504, "in doubt", why).after(seconds(wait))
+            let reason = "the request reached an origin, but its outcome is not known";
+            Reply::problem(504, "in doubt", reason).after(seconds(wait))
         }
-        _ => Reply::problem(504, "in doubt", "this node lost track of the request").after(2),
+        _ => Reply::problem(504, "in doubt", "this node did not answer in time; the outcome is not known")
+            .after(2),
     }
 }
 
-/// In whole seconds, rounded up, as `Retry-After` has it.
+/// Whole seconds, rounded up, as `Retry-After` requires.
 fn seconds(span: Span) -> u64 {
     span.0.div_ceil(MICROS_PER_SECOND)
 }
 
+/// The response to a denied request; only a 503 says when to retry.
 fn denial(denied: Denied, wait: Span) -> Reply {
-    let (status, why) = denial_reason(denied);
-    let reply = Reply::problem(status, "denied", why);
+    let (status, reason) = denial_reason(denied);
+    let reply = Reply::problem(status, "denied", reason);
     if status == 503 {
         reply.after(seconds(wait))
     } else {
@@ -64,22 +66,25 @@
 
 fn denial_reason(denied: Denied) -> (u16, &'static str) {
     match denied {
-        Denied::NoLane => (404, "no such lane"),
-        Denied::NoKey => (400, "this lane needs an Idempotency-Key"),
-        Denied::KeyReused => (422, "the key was used with another request"),
-        Denied::BadMethod => (405, "not a method of this lane"),
-        Denied::NoLease => (503, "this node may not serve: out of touch with the controllers"),
-        Denied::NoOrigin => (503, "no usable origin"),
-        Denied::Ceiling => (503, "the service is at its ceiling"),
-        Denied::SplitVote => (503, "the key could not be secured"),
-        Denied::Leaving => (503, "this node is leaving"),
-        Denied::TooMany => (503, "this node holds too many requests"),
-        Denied::KeyAtWork => (409, "another try of the key is under way, or its outcome is not known"),
-        Denied::Refused => (503, "no origin could run it"),
+        Denied::NoLane => (404, "unknown lane"),
+        Denied::NoKey => (400, "this lane requires an Idempotency-Key"),
+        Denied::KeyReused => (422, "the Idempotency-Key was already used with a different request"),
+        Denied::BadMethod => (405, "the lane does not allow this method"),
+        Denied::NoLease => (503, "no configuration lease: this node cannot reach the controllers"),
+        Denied::NoOrigin => (503, "no origin is available"),
+        Denied::Ceiling => (503, "the service has reached its rate limit"),
+        Denied::SplitVote => (503, "the ledgers could not agree on the Idempotency-Key"),
+        Denied::Leaving => (503, "this node is shutting down"),
+        Denied::TooMany => (503, "this node has too many requests"),
+        Denied::KeyAtWork => {
+            (409, "another request with this Idempotency-Key is in progress, or its outcome is not known")
+        }
+        Denied::Refused => (503, "no origin accepted the request"),
     }
 }
 
-/// The fields that the origin gets: the end-to-end ones, and for whom this edge forwards.
+/// The header fields sent to the origin: the end-to-end ones, with `X-Forwarded-For`,
+/// `X-Forwarded-Host` and `Via` extended by this edge.
 fn forwarded_fields(call: &Call) -> Headers {
     let earlier = |name: &str| -> String {
         call.heads.all(name).map(|value| format!("{}, ", String::from_utf8_lossy(value))).collect()
@@ -93,13 +98,15 @@
     fields.with("x-forwarded-host", host.to_string()).with("via", via)
 }
 
+/// The response with a complete answer, and with its source in `Lanewing-From`. `until` is the
+/// deadline for sending it.
 fn served(whole: &Whole, source: AnswerSource, until: Mono) -> Reply {
     let mut fields = whole.heads.without(|name| name == "lanewing-length");
     let source = match source {
         AnswerSource::Origin => "origin",
         AnswerSource::Copy(age) => {
-            let age = (age.0 / MICROS_PER_SECOND).to_string();
-            fields = fields.without(|name| name == "age").with("age", age);
+            let age_s = (age.0 / MICROS_PER_SECOND).to_string();
+            fields = fields.without(|name| name == "age").with("age", age_s);
             "copy"
         }
         AnswerSource::Record => "record",
--- a/crates/lanewing/src/main.rs
+++ b/crates/lanewing/src/main.rs
@@ -1,4 +1,4 @@
-//! The `lanewing` program: runs every role, and speaks for operators.
+//! The `lanewing` program: runs the roles and the operators' commands.
 #![deny(missing_docs)]
 #![deny(clippy::too_many_lines)]
 
@@ -19,7 +19,9 @@
 use std::process::ExitCode;
 
 /// Exit statuses; see `docs/operators/settings.md`.
+/// The command was valid but failed.
 const FAILED: u8 = 1;
+/// Invalid arguments or settings.
 const INVALID: u8 = 2;
 
 /// Why a command failed.
@@ -28,13 +30,13 @@
     /// A role could not start.
     #[snafu(display("{source}"), context(false))]
     Start { source: roles::StartError },
-    /// The platform's program failed.
+    /// The platform command failed.
     #[snafu(display("{source}"), context(false))]
     Platform { source: platform::PlatformError },
     /// An operator's command failed.
     #[snafu(display("{source}"), context(false))]
     Operator { source: operator::OperatorError },
-    /// A stand-in failed.
+    /// A stand-in for an origin or for callers failed.
     #[snafu(display("{source}"), context(false))]
     Rehearsal { source: rehearsal::RehearsalError },
 }
--- a/crates/lanewing/src/operator_commands.rs
+++ b/crates/lanewing/src/operator_commands.rs
@@ -1,4 +1,4 @@
-//! The plug-in of the operators' commands.
+//! Plug-in with the operators' subcommands.
 use crate::args::{id, json, operator_command, option, positional};
 use crate::kernel::{Plugin, PLUGINS};
 use crate::operator;
@@ -17,13 +17,14 @@
         set(),
         delete(),
         purge(),
-        operator_command("origins", "Show origins, their beats and understudies").arg(json()),
+        operator_command("origins", "Show origins, their latest heartbeats and their standby origins")
+            .arg(json()),
         operator_command("nodes", "Show controllers, edges and ledgers").arg(json()),
-        operator_command("health", "Ask a node whether it is ready, and for its counters"),
-        operator_command("drain", "Let a node take no new work").arg(node()).arg(id()),
-        operator_command("remove", "Take a node out of the list for good").arg(node()).arg(id()),
+        operator_command("health", "Show whether a node is ready, and its counters"),
+        operator_command("drain", "Stop sending new requests to a node").arg(node()).arg(id()),
+        operator_command("remove", "Remove a node permanently").arg(node()).arg(id()),
         replace(),
-        operator_command("apply", "Send changes from a file, one JSON object a line")
+        operator_command("apply", "Send changes from a file with one JSON object per line")
             .arg(positional("file", "The file")),
         check(),
     ]
@@ -46,11 +47,11 @@
         .arg(lane())
         .arg(service())
         .arg(option("expect", "The row's version as last seen; 0 for a new row").required(true))
-        .arg(option("weight", "Its part of the lane's requests").required(true))
-        .arg(option("ceiling", "Requests a second its service may get").required(true))
-        .arg(option("rank", "Urgency, 0 goes first").default_value("5"))
+        .arg(option("weight", "Relative share of the lane's requests").required(true))
+        .arg(option("ceiling", "Rate limit of the service, in requests per second").required(true))
+        .arg(option("rank", "Priority; 0 is the highest").default_value("5"))
         .arg(option("kind", "read, plain or keyed").required(true))
-        .arg(option("ttl-ms", "How long copies live").default_value("0"))
+        .arg(option("ttl-ms", "Time-to-live of cached copies, in milliseconds").default_value("0"))
         .arg(id())
 }
 
@@ -63,17 +64,17 @@
 }
 
 fn purge() -> Command {
-    operator_command("purge", "Drop all copies of a service whose path begins so")
+    operator_command("purge", "Delete a service's cached copies by path prefix")
         .arg(service())
-        .arg(positional("prefix", "How the paths begin; \"\" for all"))
+        .arg(positional("prefix", "Path prefix; \"\" for all paths"))
         .arg(id())
 }
 
 fn replace() -> Command {
     let cohort = |name, help| positional(name, help).value_parser(value_parser!(Addr));
-    operator_command("replace", "Give a lost controller's seat to the unjoined controller at another address")
-        .arg(cohort("old", "The lost one's cohort address"))
-        .arg(cohort("new", "The new one's cohort address"))
+    operator_command("replace", "Replace a lost controller by the unjoined controller at another address")
+        .arg(cohort("old", "Cohort address of the lost controller"))
+        .arg(cohort("new", "Cohort address of the new controller"))
 }
 
 fn check() -> Command {
--- a/crates/lanewing/src/platform_command.rs
+++ b/crates/lanewing/src/platform_command.rs
@@ -1,4 +1,4 @@
-//! The plug-in of the platform's program.
+//! Plug-in with the `platform` subcommand.
 use crate::kernel::{Plugin, PLUGINS};
 use linkme::distributed_slice;
 
--- a/crates/lanewing/src/role_commands.rs
+++ b/crates/lanewing/src/role_commands.rs
@@ -1,4 +1,4 @@
-//! The plug-in of the roles.
+//! Plug-in with the subcommands that run the roles.
 use crate::args;
 use crate::kernel::{Plugin, PLUGINS};
 use crate::roles::{self, Start, StartError};
@@ -14,9 +14,12 @@
 
 fn commands() -> Vec<Command> {
     vec![
-        role_command("controller", "Run a controller: decides and keeps the control state"),
-        role_command("edge", "Run an edge: routes, caches and shields"),
-        role_command("ledger", "Run a ledger: keeps copies and the ledger of keys"),
+        role_command("controller", "Run a controller: decides on and stores the control state"),
+        role_command("edge", "Run an edge: routes and caches requests, and protects origins from overload"),
+        role_command(
+            "ledger",
+            "Run a ledger: stores the outcomes of requests by idempotency key, and cached copies",
+        ),
     ]
 }
 
@@ -35,22 +38,22 @@
     Command::new(name)
         .about(about)
         .arg(args::env())
-        .arg(node.value_parser(value_parser!(u16)).help("Which node of the settings file this process is"))
+        .arg(node.value_parser(value_parser!(u16)).help("Number of this node in the settings file"))
         .arg(
             data.value_parser(value_parser!(PathBuf))
-                .help("The one folder for all files; each node has its own part of it"),
+                .help("Folder for all files; each node uses a subfolder of its own"),
         )
-        .arg(args::addr("cohort", "Listen here for other processes instead"))
-        .arg(args::addr("http", "Serve HTTP here instead"))
-        .arg(zone.help("Sit in this zone instead"))
-        .arg(args::addr("seed", "Another process to begin with; three times").action(ArgAction::Append))
+        .arg(args::addr("cohort", "Address for other processes, instead of that of the settings file"))
+        .arg(args::addr("http", "HTTP address, instead of that of the settings file"))
+        .arg(zone.help("Zone of this node, instead of that of the settings file"))
+        .arg(args::addr("seed", "A process to contact first; give it three times").action(ArgAction::Append))
         .arg(args::flag(
             "simulate-distance",
-            "Rehearsals: delay messages by the distances of the settings file",
+            "Rehearsals: delay messages by the distances in the settings file",
         ))
 }
 
-/// Reads the settings and finds this process's place in them; arguments override it.
+/// Reads the settings file and this node's entry in it, which arguments override.
 fn start(matches: &ArgMatches, role: Role) -> Result<Start, StartError> {
     let env = Env::load(matches.get_one::<PathBuf>("env").expect("required"))?;
     let mut place = env.place(*matches.get_one("node").expect("required"), role)?;
