--- a/crates/lanewing/src/operator.rs
+++ b/crates/lanewing/src/operator.rs
@@ -46,7 +46,7 @@
     #[snafu(display("--set {set}: expected NAME=VALUE"))]
     NoPair { set: String },
     /// No controller answered.
-    #[snafu(display("none of the controllers answered"))]
+    #[snafu(display("none of the addresses answered"))]
     NoAnswer,
     /// A controller denied the request, or a node is not ready.
     #[snafu(display("denied ({status}): {body}"))]
