--- a/crates/simulator/src/contact_loss.rs
+++ b/crates/simulator/src/contact_loss.rs
@@ -21,7 +21,7 @@
 pub const CONTACT_LOSSES: [ContactLoss; 4] =
     [ContactLoss::BothWays, ContactLoss::Mute, ContactLoss::Deaf, ContactLoss::Frozen];
 
-/// How long after the loss of contact a heartbeat may still be acknowledged: the duration
+/// How long after the loss of contact an `OriginHeartbeat` may still be acknowledged: the duration
 /// of the lease that permits it, and of messages in transit.
 const HEARTBEAT_GRACE: Span = Span::ms(700);
 /// The same for agreed changes. The others may decide a proposal sent just before, and a mute
--- a/crates/simulator/src/origin_states.rs
+++ b/crates/simulator/src/origin_states.rs
@@ -13,7 +13,7 @@
         });
     }
 
-    /// Lets the origin announce `mood` in a heartbeat at once; it goes on answering.
+    /// Lets the origin announce `mood` in an `OriginHeartbeat` at once; it goes on answering.
     pub fn announce_leaving(&mut self, a: Addr, mood: Mood) {
         let now = self.now;
         self.origins.get_mut(&a).into_iter().for_each(|b| {
--- a/crates/simulator/src/requests.rs
+++ b/crates/simulator/src/requests.rs
@@ -15,7 +15,7 @@
     Read,
     /// An origin deregisters under the name of its incarnation.
     SignOff(String),
-    /// A heartbeat of that origin, and whether it announced that it leaves.
+    /// An `OriginHeartbeat` of that origin, and whether it announced that it leaves.
     OriginHeartbeat(Addr, bool),
     /// Which origins the edge wants probed.
     Probes,
--- a/crates/simulator/src/stand_in_origins.rs
+++ b/crates/simulator/src/stand_in_origins.rs
@@ -81,11 +81,11 @@
         self.at(Span::ms(1), Event::OriginHeartbeat(a, birth.0));
     }
 
-    pub(crate) fn heartbeat(&mut self, a: Addr, life: u64) {
+    pub(crate) fn send_origin_heartbeats(&mut self, a: Addr, life: u64) {
         let targets = self.heartbeat_targets();
         let Some(b) = self.origins.get_mut(&a).filter(|b| b.up && b.birth.0 == life) else { return };
         let to = targets[b.controller % targets.len()];
-        // If the receiver is frozen or down, the next heartbeat goes to another one.
+        // If the receiver is frozen or down, the next heartbeats go to another one.
         let unreachable = self.procs[&to].frozen || self.procs[&to].part.is_none();
         if unreachable {
             b.controller += 1;
@@ -95,12 +95,12 @@
         self.at(Span::ms(200), Event::OriginHeartbeat(a, life));
     }
 
-    /// Sends one heartbeat with the present state of the origin.
+    /// Sends one `OriginHeartbeat` with the present state of the origin.
     pub fn send_heartbeat(&mut self, a: Addr, to: Addr) {
         let named = self.plan.open.is_some();
         let Some(b) = self.origins.get_mut(&a) else { return };
         b.seq += named as u64;
-        let heartbeat = OriginHeartbeat {
+        let origin_heartbeat = OriginHeartbeat {
             seq: b.seq,
             tag: if named { b.birth.to_string() } else { String::new() },
             svc: b.svc.clone(),
@@ -116,7 +116,7 @@
         let t = Token(self.next_token);
         self.pending.insert(t, (to, crate::requests::Want::OriginHeartbeat(a, leaving), self.now));
         let d = self.distance(a, to);
-        self.at(d, Event::Ask(to, t, Ask::OriginHeartbeat(heartbeat, None)));
+        self.at(d, Event::Ask(to, t, Ask::OriginHeartbeat(origin_heartbeat, None)));
     }
 
     /// Sends the request, unless its deadline has passed when the executor checks it last.
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -42,7 +42,7 @@
     pub exchanges: Vec<Exchange>,
     /// Origins whose deregistration was acknowledged as in force.
     pub signed_off: BTreeSet<Addr>,
-    /// When each process last acknowledged a heartbeat.
+    /// When each process last acknowledged an `OriginHeartbeat`.
     pub heartbeats_acknowledged: BTreeMap<Addr, Mono>,
     pub counts: BTreeMap<&'static str, u64>,
     /// Bytes of messages between processes; counted only where links are limited.
@@ -135,7 +135,7 @@
             Event::Leave(g, life, r) => self.leave(g, life, r),
             Event::Arrive(g, life, r) => self.arrive(g, life, r),
             Event::Answer(g, life, r, of, whole) => self.answer(g, life, r, of, whole),
-            Event::OriginHeartbeat(a, life) => self.heartbeat(a, life),
+            Event::OriginHeartbeat(a, life) => self.send_origin_heartbeats(a, life),
             Event::Probe(a, life) => self.probe(a, life),
             Event::Do(f) => f(self),
         }
